--- a/src/entry/callerServer.ts
+++ b/src/entry/callerServer.ts
@@ -9,7 +9,7 @@
 import type { ConfigurationTask } from './configurationTask.js'
 import { monotonicNow } from './entryContext.js'
 import type { CallerAnswer } from './callerRequest.js'
-import { STOPPING_ERROR, type FrontDoor } from './frontDoor.js'
+import { STOPPING_ERROR, type RequestDispatcher } from './frontDoor.js'
 import { REPLAYABLE_BODY_BYTES, RequestBody } from './requestBody.js'
 import { errorResponse } from './errorResponse.js'
 import type { Forwarder } from './forwarder.js'
@@ -30,7 +30,7 @@
 
   constructor (
     private readonly configuration: ConfigurationTask,
-    private readonly frontDoor: FrontDoor,
+    private readonly frontDoor: RequestDispatcher,
     private readonly jobs: JobApi,
     private readonly operators: OperatorApi,
     private readonly keys: Pick<KeyTask, 'onPeer'>,
--- a/src/entry/entryInstance.ts
+++ b/src/entry/entryInstance.ts
@@ -5,7 +5,7 @@
 import type { CallerServer } from './callerServer.js'
 import type { ConfigurationTask } from './configurationTask.js'
 import type { EntryContext } from './entryContext.js'
-import type { FrontDoor } from './frontDoor.js'
+import type { RequestDispatcher } from './frontDoor.js'
 import type { JobTask } from './jobTask.js'
 import type { MembershipTask } from './membershipTask.js'
 import type { OwnershipTask } from './ownershipTask.js'
@@ -20,7 +20,7 @@
   readonly configuration: ConfigurationTask
   readonly ownership: OwnershipTask
   readonly slots: SlotTask
-  readonly frontDoor: FrontDoor
+  readonly frontDoor: RequestDispatcher
   readonly server: CallerServer
   readonly jobs: JobTask
   readonly placement: PlacementTask
--- a/src/entry/frontDoor.ts
+++ b/src/entry/frontDoor.ts
@@ -43,7 +43,7 @@
 }
 
 /** Queues callers' requests and dispatches them to executors within the slots that this instance holds. */
-export class FrontDoor extends DisposableObject {
+export class RequestDispatcher extends DisposableObject {
   private readonly pools = new Map<string, PoolDispatcher<PendingRequest>>()
   private readonly executors = new Map<string, Executor>()
   private readonly budgets = new Map<string, RetryBudget>()
--- a/src/entry/operatorApi.ts
+++ b/src/entry/operatorApi.ts
@@ -5,7 +5,7 @@
 import type { ConfigurationTask } from './configurationTask.js'
 import { monotonicNow, type EntryContext } from './entryContext.js'
 import { errorResponse } from './errorResponse.js'
-import type { FrontDoor } from './frontDoor.js'
+import type { RequestDispatcher } from './frontDoor.js'
 import type { JobTask } from './jobTask.js'
 import type { MetricsRegistry } from './metricsRegistry.js'
 import type { OwnershipTask } from './ownershipTask.js'
@@ -20,7 +20,7 @@
     private readonly ownership: OwnershipTask,
     private readonly placement: PlacementTask,
     private readonly jobs: JobTask,
-    private readonly frontDoor: FrontDoor,
+    private readonly frontDoor: RequestDispatcher,
     private readonly membership: Membership,
     private readonly links: LinkTransport,
     private readonly metrics: MetricsRegistry,
--- a/src/programs/wiring.ts
+++ b/src/programs/wiring.ts
@@ -14,7 +14,7 @@
 import type { EntryContext } from '../entry/entryContext.js'
 import { EntryInstance } from '../entry/entryInstance.js'
 import { Forwarder } from '../entry/forwarder.js'
-import { FrontDoor } from '../entry/frontDoor.js'
+import { RequestDispatcher } from '../entry/frontDoor.js'
 import { JobApi } from '../entry/jobApi.js'
 import { JobTask } from '../entry/jobTask.js'
 import { KeyGate } from '../entry/keyGate.js'
@@ -113,7 +113,7 @@
   const keys = own(new KeyTask(context, configuration, membership.membership, ownership, keyFollower, createAppender, agent, text => hashing.h64(text)))
   const forwarder = new Forwarder(context, membership.membership, own(connections.peers))
   const executorClient = own(connections.executors)
-  const frontDoor: FrontDoor = own(new FrontDoor(context, configuration, membership.membership, slots.holder, executorClient, new LeastExpectedTimeChooser(), slots, new KeyGate(keys), forwarder))
+  const frontDoor: RequestDispatcher = own(new RequestDispatcher(context, configuration, membership.membership, slots.holder, executorClient, new LeastExpectedTimeChooser(), slots, new KeyGate(keys), forwarder))
   own(slots.onDidChangeGrants(() => frontDoor.dispatchAll()))
   const jobs = own(new JobTask(context, configuration, jobFollower, createAppender))
   own(new RetentionTask(context, ownership, configuration, jobs, configurationFollower, jobFollower, createAppender))
--- a/test/entry/callerServer.test.ts
+++ b/test/entry/callerServer.test.ts
@@ -12,7 +12,7 @@
 import type { ConfigurationTask } from '../../src/entry/configurationTask.js'
 import type { EntryContext } from '../../src/entry/entryContext.js'
 import { Forwarder } from '../../src/entry/forwarder.js'
-import { FrontDoor } from '../../src/entry/frontDoor.js'
+import { RequestDispatcher } from '../../src/entry/frontDoor.js'
 import { KeyGate } from '../../src/entry/keyGate.js'
 import type { JobApi } from '../../src/entry/jobApi.js'
 import type { OperatorApi } from '../../src/entry/operatorApi.js'
@@ -76,7 +76,7 @@
   readonly origin: string
   readonly executors: readonly RawExecutor[]
   readonly slots: SlotHolder
-  readonly frontDoor: FrontDoor
+  readonly frontDoor: RequestDispatcher
 }
 
 /** A front door with real sockets towards callers and two raw executors, and all slots granted to it. */
@@ -104,7 +104,7 @@
   slots.applyGrants({ sequence: 1, answersReport: sequence, validMilliseconds: 60_000, grants: [0, 1].map(index => ({ executor: `e${index}`, slots: 8, connections: 60 })) })
   const client = owned.add(new HttpExecutorClient())
   const forwarder = new Forwarder(context, membership, owned.add(new HttpExecutorClient()))
-  const frontDoor = owned.add(new FrontDoor(context, configuration, membership, slots, client, new LeastExpectedTimeChooser(), { requestSlots: () => {}, reportFreedSlots: () => {} }, new KeyGate({ begin: async () => ({ kind: 'run', unlogged: false }), end: async () => {} }), forwarder))
+  const frontDoor = owned.add(new RequestDispatcher(context, configuration, membership, slots, client, new LeastExpectedTimeChooser(), { requestSlots: () => {}, reportFreedSlots: () => {} }, new KeyGate({ begin: async () => ({ kind: 'run', unlogged: false }), end: async () => {} }), forwarder))
   const server = owned.add(new CallerServer(configuration, frontDoor, {} as JobApi, { route: () => {} } as unknown as OperatorApi, { onPeer: async () => undefined }, forwarder, () => true))
   const port = await server.listen('127.0.0.1', 0)
   return { port, origin: `http://127.0.0.1:${port}`, executors, slots, frontDoor }
--- a/test/fuzz/faults.ts
+++ b/test/fuzz/faults.ts
@@ -1,5 +1,5 @@
 import { PassThrough } from 'node:stream'
-import { FrontDoor } from '../../src/entry/frontDoor.js'
+import { RequestDispatcher } from '../../src/entry/frontDoor.js'
 import { PlacementTask } from '../../src/entry/placementTask.js'
 import { RequestSender } from '../../src/entry/requestSender.js'
 import { Worker } from '../../src/machines/worker.js'
@@ -120,7 +120,7 @@
     checks: ['NonIdempotentAtMostOnce'],
     seed: 11,
     runs: 1,
-    options: { plant: replace(FrontDoor, 'mayRepeat', (original, _self, pending, failed) => original(pending, { ...failed as object, repeatable: true, sent: false })) }
+    options: { plant: replace(RequestDispatcher, 'mayRepeat', (original, _self, pending, failed) => original(pending, { ...failed as object, repeatable: true, sent: false })) }
   },
   { name: 'answers are swapped between two requests', checks: ['WholeOwnAnswer'], seed: 1, runs: 1, options: { wrapConnections: swapBodies() } },
   { name: 'a truncated body is passed as complete', checks: ['WholeOwnAnswer'], seed: 2, runs: 1, options: { wrapConnections: completeCutBodies() } },
@@ -137,7 +137,7 @@
     seed: 1,
     runs: 2,
     options: {
-      plant: replaceGetter(FrontDoor, 'active', () => 0)
+      plant: replaceGetter(RequestDispatcher, 'active', () => 0)
     }
   },
   {
@@ -184,7 +184,7 @@
     seed: 8,
     runs: 2,
     options: {
-      plant: replace(FrontDoor, 'refreshExecutors', (original, self) => {
+      plant: replace(RequestDispatcher, 'refreshExecutors', (original, self) => {
         original()
         for (const executor of (self as unknown as { executors: Map<string, { leaving: boolean }> }).executors.values()) executor.leaving = false
       })
