--- a/test/fuzz/faults.ts
+++ b/test/fuzz/faults.ts
@@ -1,5 +1,5 @@
 import { PassThrough } from 'node:stream'
-import { RequestDispatcher } from '../../src/entry/frontDoor.js'
+import { RequestDispatcher } from '../../src/entry/requestDispatcher.js'
 import { PlacementTask } from '../../src/entry/placementTask.js'
 import { RequestSender } from '../../src/entry/requestSender.js'
 import { Worker } from '../../src/machines/worker.js'
