--- a/src/entry/requestDispatcher.ts
+++ b/src/entry/requestDispatcher.ts
@@ -19,7 +19,7 @@
 import { RequestSender, type FailedAttempt } from './requestSender.js'
 
 /** How the front door tells the slot task what it needs. */
-export interface SlotRequests {
+export interface SlotRequester {
   /** Requests wait; asks the owner for slots. */
   requestSlots (): void
   /** Slots may have become free that the owner wants back. */
@@ -61,7 +61,7 @@
     private readonly slots: SlotHolder,
     private readonly client: ExecutorClient,
     private readonly chooser: ExecutorChooser,
-    private readonly slotRequests: SlotRequests,
+    private readonly slotRequests: SlotRequester,
     private readonly keys: KeyGate,
     private readonly forwarder: Forwarder
   ) {
