--- a/src/entry/entryInstance.ts
+++ b/src/entry/entryInstance.ts
@@ -84,7 +84,7 @@
     this.parts.frontDoor.stopAccepting()
     const drained = this.parts.server.drain(deadline)
     let returned = false
-    while (this.parts.frontDoor.active > 0 && performance.now() < deadline && !this.isDisposed) {
+    while (this.parts.frontDoor.activeRequests > 0 && performance.now() < deadline && !this.isDisposed) {
       if (!returned && this.parts.frontDoor.waiting === 0) {
         this.parts.slots.returnGrants()
         returned = true
@@ -92,7 +92,7 @@
       await delay(STOP_POLL_MILLISECONDS)
     }
     this.parts.slots.returnGrants()
-    const unfinished = this.parts.frontDoor.active
+    const unfinished = this.parts.frontDoor.activeRequests
     await this.parts.ownership.release(RELEASE_TIMEOUT_MILLISECONDS)
     const cutOff = Math.max(unfinished, await drained)
     if (cutOff > 0) logger.warn('the time bound of the stop has passed; requests are cut off', { count: cutOff })
--- a/src/entry/operatorApi.ts
+++ b/src/entry/operatorApi.ts
@@ -60,7 +60,7 @@
       owner: this.ownership.owner?.instance,
       term: this.ownership.term,
       isOwner: this.ownership.isOwner(),
-      activeRequests: this.frontDoor.active,
+      activeRequests: this.frontDoor.activeRequests,
       openJobs: this.jobs.book.open().length,
       outdated: this.newerRecords() > 0,
       newerRecords: this.newerRecords(),
--- a/src/entry/requestDispatcher.ts
+++ b/src/entry/requestDispatcher.ts
@@ -80,7 +80,7 @@
   }
 
   /** Requests accepted and not yet answered to their end. */
-  get active (): number {
+  get activeRequests (): number {
     return this.activeCount
   }
 
--- a/test/entry/callerServer.test.ts
+++ b/test/entry/callerServer.test.ts
@@ -201,7 +201,7 @@
       const sentAt = performance.now()
       caller.abort()
       await assert.rejects(pending)
-      await until(() => site.frontDoor.active === 0)
+      await until(() => site.frontDoor.activeRequests === 0)
       assert.equal(site.slots.inFlight('e0') + site.slots.inFlight('e1'), 1)
       await until(() => site.slots.inFlight('e0') + site.slots.inFlight('e1') === 0)
       assert.ok(performance.now() - sentAt >= 900)
@@ -265,7 +265,7 @@
       socket.write(`POST /services/booking/x HTTP/1.1\r\nhost: h\r\ncontent-length: ${LARGE_BODY.length}\r\n\r\n${LARGE_BODY.slice(0, 100_000)}`)
       await until(() => received(site).length > 50_000)
       socket.destroy()
-      await until(() => site.frontDoor.active === 0 && site.executors.every(executor => executor.sockets.size === 0))
+      await until(() => site.frontDoor.activeRequests === 0 && site.executors.every(executor => executor.sockets.size === 0))
       assert.doesNotMatch(received(site), /\r\n0\r\n\r\n$/)
     }
   },
@@ -293,8 +293,8 @@
       const socket = connect(site.port, '127.0.0.1')
       socket.on('error', () => {})
       socket.write('GET /services/lookup/x HTTP/1.1\r\nhost: h\r\n\r\n')
-      await until(() => site.frontDoor.active === 1)
-      await until(() => site.frontDoor.active === 0)
+      await until(() => site.frontDoor.activeRequests === 1)
+      await until(() => site.frontDoor.activeRequests === 0)
       // The executor counts the run from the arrival of the request, so that the slot follows a margin later.
       await until(() => site.slots.inFlight('e0') + site.slots.inFlight('e1') === 0)
       socket.destroy()
