--- a/test/fuzz/faults.ts
+++ b/test/fuzz/faults.ts
@@ -137,7 +137,7 @@
     seed: 1,
     runs: 2,
     options: {
-      plant: replaceGetter(RequestDispatcher, 'active', () => 0)
+      plant: replaceGetter(RequestDispatcher, 'activeRequests', () => 0)
     }
   },
   {
