--- a/src/entry/entryInstance.ts
+++ b/src/entry/entryInstance.ts
@@ -85,7 +85,7 @@
     const drained = this.parts.server.drain(deadline)
     let returned = false
     while (this.parts.frontDoor.activeRequests > 0 && performance.now() < deadline && !this.isDisposed) {
-      if (!returned && this.parts.frontDoor.waiting === 0) {
+      if (!returned && this.parts.frontDoor.waitingRequests === 0) {
         this.parts.slots.returnGrants()
         returned = true
       }
--- a/src/entry/requestDispatcher.ts
+++ b/src/entry/requestDispatcher.ts
@@ -85,7 +85,7 @@
   }
 
   /** Requests that wait for a slot. */
-  get waiting (): number {
+  get waitingRequests (): number {
     let sum = 0
     for (const pool of this.pools.values()) sum += pool.length
     return sum
