--- a/src/entry/requestDispatcher.ts
+++ b/src/entry/requestDispatcher.ts
@@ -92,7 +92,7 @@
   }
 
   /** Whether an urgent request waits for a slot. */
-  get urgentWaits (): boolean {
+  get hasUrgentWaiting (): boolean {
     return [...this.pools.values()].some(pool => pool.urgentWaits)
   }
 
--- a/src/programs/wiring.ts
+++ b/src/programs/wiring.ts
@@ -109,7 +109,7 @@
   const configuration = own(new ConfigurationTask(context, configurationFollower, links))
   const ownershipAppender = own(createAppender(domainStream('ownership', settings.failureDomain)))
   const ownership = own(new OwnershipTask(context, ownershipFollower, ownershipAppender, links, membership.membership))
-  const slots = own(new SlotTask(context, ownership, configuration, membership.membership, links, () => frontDoor.demand(), () => frontDoor.urgentWaits))
+  const slots = own(new SlotTask(context, ownership, configuration, membership.membership, links, () => frontDoor.demand(), () => frontDoor.hasUrgentWaiting))
   const keys = own(new KeyTask(context, configuration, membership.membership, ownership, keyFollower, createAppender, agent, text => hashing.h64(text)))
   const forwarder = new Forwarder(context, membership.membership, own(connections.peers))
   const executorClient = own(connections.executors)
