--- a/src/entry/requestDispatcher.ts
+++ b/src/entry/requestDispatcher.ts
@@ -200,11 +200,11 @@
     const failed = await this.sender.send(pending, executor)
     if (failed === undefined) return
     if (failed.error.verdict === 'mayHaveRun') pending.mayHaveRun = true
-    if (this.mayRepeat(pending, failed)) await this.repeat(pending, failed)
+    if (this.mayRetry(pending, failed)) await this.repeat(pending, failed)
     else pending.settle(errorAnswer(failed.error))
   }
 
-  private mayRepeat (pending: PendingRequest, failed: FailedAttempt): boolean {
+  private mayRetry (pending: PendingRequest, failed: FailedAttempt): boolean {
     if (!failed.repeatable || pending.isSettled || this.stopping) return false
     if (!failed.sent) return pending.unsentAttempts < MAXIMUM_UNSENT_ATTEMPTS
     return pending.attempts < MAXIMUM_ATTEMPTS && this.budgetOf(pending).take()
