--- a/src/entry/requestDispatcher.ts
+++ b/src/entry/requestDispatcher.ts
@@ -205,7 +205,7 @@
   }
 
   private mayRetry (pending: PendingRequest, failed: FailedAttempt): boolean {
-    if (!failed.repeatable || pending.isSettled || this.stopping) return false
+    if (!failed.retryable || pending.isSettled || this.stopping) return false
     if (!failed.sent) return pending.unsentAttempts < MAXIMUM_UNSENT_ATTEMPTS
     return pending.attempts < MAXIMUM_ATTEMPTS && this.budgetOf(pending).take()
   }
--- a/src/entry/requestSender.ts
+++ b/src/entry/requestSender.ts
@@ -15,7 +15,7 @@
 /** An attempt that brought no answer. `repeatable` says whether the request may be sent again without running twice. */
 export interface FailedAttempt {
   readonly error: ServingError
-  readonly repeatable: boolean
+  readonly retryable: boolean
   /** Whether bytes reached the executor, so that another attempt counts against the retry budget. */
   readonly sent: boolean
 }
@@ -61,7 +61,7 @@
       if (failure.unreachable === true) this.onExecutorFailed(executor)
       pending.unsentAttempts += 1
       this.release(executor)
-      return { error: { code: 'noExecutor', verdict: 'notRun', message: 'no executor could be reached', retryAfterSeconds: 1 }, repeatable: canBeSent, sent: false }
+      return { error: { code: 'noExecutor', verdict: 'notRun', message: 'no executor could be reached', retryAfterSeconds: 1 }, retryable: canBeSent, sent: false }
     }
     pending.attempts += 1
     if (!pending.request.signal.aborted) this.onExecutorFailed(executor)
@@ -69,7 +69,7 @@
     const error: ServingError = failure.timedOut
       ? { code: 'executorTimeout', verdict: 'mayHaveRun', message: 'the executor did not answer in time' }
       : { code: 'executorFailed', verdict: 'mayHaveRun', message: 'the connection to the executor broke' }
-    return { error, repeatable: pending.isIdempotent && canBeSent, sent: true }
+    return { error, retryable: pending.isIdempotent && canBeSent, sent: true }
   }
 
   private onAnswer (pending: PendingRequest, executor: Executor, answer: ExecutorAnswer, startedAt: number): FailedAttempt | undefined {
@@ -89,7 +89,7 @@
     if (answer.status >= 500) this.onExecutorFailed(executor)
     if (refused) {
       answer.body.resume()
-      return { error: { code: 'executorRefused', verdict: 'notRun', message: 'the executors refuse requests', retryAfterSeconds: 1 }, repeatable: pending.request.body.canBeSent, sent: true }
+      return { error: { code: 'executorRefused', verdict: 'notRun', message: 'the executors refuse requests', retryAfterSeconds: 1 }, retryable: pending.request.body.canBeSent, sent: true }
     }
     const headers = endToEndHeaders(Object.entries(answer.headers), [CALLER_HEADERS.verdict])
     headers[CALLER_HEADERS.request] = pending.identity
--- a/test/fuzz/faults.ts
+++ b/test/fuzz/faults.ts
@@ -120,7 +120,7 @@
     checks: ['NonIdempotentAtMostOnce'],
     seed: 11,
     runs: 1,
-    options: { plant: replace(RequestDispatcher, 'mayRetry', (original, _self, pending, failed) => original(pending, { ...failed as object, repeatable: true, sent: false })) }
+    options: { plant: replace(RequestDispatcher, 'mayRetry', (original, _self, pending, failed) => original(pending, { ...failed as object, retryable: true, sent: false })) }
   },
   { name: 'answers are swapped between two requests', checks: ['WholeOwnAnswer'], seed: 1, runs: 1, options: { wrapConnections: swapBodies() } },
   { name: 'a truncated body is passed as complete', checks: ['WholeOwnAnswer'], seed: 2, runs: 1, options: { wrapConnections: completeCutBodies() } },
