--- a/src/entry/entryInstance.ts
+++ b/src/entry/entryInstance.ts
@@ -13,7 +13,7 @@
 import type { SlotTask } from './slotTask.js'
 
 /** The parts of an entry instance that its life cycle needs. */
-export interface EntryParts {
+export interface EntryComponents {
   readonly followers: readonly LogFollower[]
   readonly links: LinkTransport
   readonly membership: MembershipTask
@@ -41,7 +41,7 @@
 export class EntryInstance extends DisposableObject {
   private accepting = true
 
-  constructor (private readonly context: EntryContext, readonly parts: EntryParts) {
+  constructor (private readonly context: EntryContext, readonly parts: EntryComponents) {
     super()
     for (const disposable of parts.disposables) this.register(disposable)
   }
