--- a/src/entry/entryInstance.ts
+++ b/src/entry/entryInstance.ts
@@ -41,30 +41,30 @@
 export class EntryInstance extends DisposableObject {
   private accepting = true
 
-  constructor (private readonly context: EntryContext, readonly parts: EntryComponents) {
+  constructor (private readonly context: EntryContext, readonly components: EntryComponents) {
     super()
-    for (const disposable of parts.disposables) this.register(disposable)
+    for (const disposable of components.disposables) this.register(disposable)
   }
 
   /** Whether the instance can serve: it has a configuration and is not stopping. */
   get isReady (): boolean {
-    return this.accepting && this.parts.configuration.inForce !== undefined
+    return this.accepting && this.components.configuration.inForce !== undefined
   }
 
   /** Whether the instance is ready and holds slots of at least one executor. */
   get canServe (): boolean {
-    return this.isReady && this.parts.slots.holder.holdsSlots(performance.now())
+    return this.isReady && this.components.slots.holder.holdsSlots(performance.now())
   }
 
   /** Starts listening and following the log; rejects if an address is taken. */
   async start (): Promise<EntryPorts> {
     const { settings, events, logger } = this.context
     events.record('instanceStarted', { failureDomain: settings.failureDomain })
-    const links = await this.parts.links.listen(settings.links.host, settings.links.port)
-    const callers = await this.parts.server.listen(settings.callers.host, settings.callers.port)
-    for (const follower of this.parts.followers) follower.run()
-    this.parts.membership.refresh()
-    const subscription = this.register(this.parts.configuration.onDidChangeRevision(() => {
+    const links = await this.components.links.listen(settings.links.host, settings.links.port)
+    const callers = await this.components.server.listen(settings.callers.host, settings.callers.port)
+    for (const follower of this.components.followers) follower.run()
+    this.components.membership.refresh()
+    const subscription = this.register(this.components.configuration.onDidChangeRevision(() => {
       subscription.dispose()
       logger.info('ready to serve')
       events.record('instanceReady')
@@ -78,22 +78,22 @@
     const { settings, events, logger } = this.context
     const deadline = performance.now() + settings.stopBoundMilliseconds
     this.accepting = false
-    this.parts.membership.announceLeaving()
+    this.components.membership.announceLeaving()
     events.record('instanceStopping')
-    await this.parts.server.stopListening(deadline)
-    this.parts.frontDoor.stopAccepting()
-    const drained = this.parts.server.drain(deadline)
+    await this.components.server.stopListening(deadline)
+    this.components.frontDoor.stopAccepting()
+    const drained = this.components.server.drain(deadline)
     let returned = false
-    while (this.parts.frontDoor.activeRequests > 0 && performance.now() < deadline && !this.isDisposed) {
-      if (!returned && this.parts.frontDoor.waitingRequests === 0) {
-        this.parts.slots.returnGrants()
+    while (this.components.frontDoor.activeRequests > 0 && performance.now() < deadline && !this.isDisposed) {
+      if (!returned && this.components.frontDoor.waitingRequests === 0) {
+        this.components.slots.returnGrants()
         returned = true
       }
       await delay(STOP_POLL_MILLISECONDS)
     }
-    this.parts.slots.returnGrants()
-    const unfinished = this.parts.frontDoor.activeRequests
-    await this.parts.ownership.release(RELEASE_TIMEOUT_MILLISECONDS)
+    this.components.slots.returnGrants()
+    const unfinished = this.components.frontDoor.activeRequests
+    await this.components.ownership.release(RELEASE_TIMEOUT_MILLISECONDS)
     const cutOff = Math.max(unfinished, await drained)
     if (cutOff > 0) logger.warn('the time bound of the stop has passed; requests are cut off', { count: cutOff })
     events.record('instanceStopped')
--- a/test/fakes/fakeSite.ts
+++ b/test/fakes/fakeSite.ts
@@ -160,7 +160,7 @@
       const context = createEntryContext(settings, line => { this.lines.push(`${Math.round(performance.now())} ${line}`) }, incarnation, this.options.seed + this.started.length)
       const entry = assembleEntryInstance(context, connections)
       // Callers reach the parts directly; no socket is opened.
-      entry.parts.server.listen = async () => 1
+      entry.components.server.listen = async () => 1
       const instance: StartedInstance = { name, failureDomain, incarnation, process, entry, connections, startedAt: performance.now(), highestRevision: 0, stopBeganAt: undefined, stoppedAt: undefined, cutOff: 0 }
       this.started.push(instance)
       this.current.set(name, instance)
@@ -212,7 +212,7 @@
     const submission: JobSubmission = { name, team: 'one', kind, urgency: 'normal', tasks: 1, resources: { processorsThousandths: 1000, memoryBytes: 1_000_000, accelerators: 0 }, runMilliseconds: kind === 'service' ? undefined : 2000, checkpointable: false, ...details, failureDomain }
     const submitted: SubmittedJob = { name, kind, failureDomain, answer: undefined, cancelled: false }
     this.jobs.push(submitted)
-    instance.process.deliver(async () => { submitted.answer = await instance.entry.parts.jobs.submit(submission, name) })
+    instance.process.deliver(async () => { submitted.answer = await instance.entry.components.jobs.submit(submission, name) })
     return submitted
   }
 
@@ -220,7 +220,7 @@
     const { answer } = job
     if (answer?.kind !== 'accepted' || instance.process.isCrashed || instance.stoppedAt !== undefined) return
     instance.process.deliver(async () => {
-      const cancelled = await instance.entry.parts.jobs.cancel(answer.job)
+      const cancelled = await instance.entry.components.jobs.cancel(answer.job)
       if (cancelled.kind === 'accepted') job.cancelled = true
     })
   }
@@ -288,7 +288,7 @@
     const headers: Array<[string, string]> = [[SUBMISSION_HEADER, submission]]
     if (key !== undefined) headers.push([CALLER_HEADERS.idempotencyKey, key])
     const urgency: Urgency = service === 'booking' ? 'urgent' : service === 'lookup' ? 'normal' : 'deferrable'
-    const answer = await instance.entry.parts.frontDoor.serve({
+    const answer = await instance.entry.components.frontDoor.serve({
       identity: submission, service, method: 'POST', path: `/${submission}`, headers, body: RequestBody.of(Buffer.from(submission)), urgency, deadline, signal: new AbortController().signal
     })
     if (answer.kind === 'error') {
--- a/test/fuzz/oracle.ts
+++ b/test/fuzz/oracle.ts
@@ -105,7 +105,7 @@
   const decided = decidedTexts(site)
   const problems: string[] = []
   for (const instance of site.alive()) {
-    const current = instance.entry.parts.configuration.inForce
+    const current = instance.entry.components.configuration.inForce
     const revision = current?.revision ?? 0
     if (revision < instance.highestRevision) problems.push(`${instance.incarnation} went from revision ${instance.highestRevision} to ${revision}`)
     instance.highestRevision = Math.max(revision, instance.highestRevision)
@@ -117,8 +117,8 @@
 /** Checked at the end: with all faults healed, the decided text is in force everywhere. */
 export function ConfigurationInForceEverywhere (site: FakeSite): string[] {
   const { length } = decidedTexts(site)
-  return site.alive().filter(({ entry }) => entry.parts.configuration.inForce?.revision !== length)
-    .map(({ incarnation, entry }) => `${incarnation} has revision ${entry.parts.configuration.inForce?.revision ?? 0} in force, not ${length}`)
+  return site.alive().filter(({ entry }) => entry.components.configuration.inForce?.revision !== length)
+    .map(({ incarnation, entry }) => `${incarnation} has revision ${entry.components.configuration.inForce?.revision ?? 0} in force, not ${length}`)
 }
 
 export function ExecutorSlotsNeverExceeded (site: FakeSite): string[] {
