--- a/src/entry/entryInstance.ts
+++ b/src/entry/entryInstance.ts
@@ -20,7 +20,7 @@
   readonly configuration: ConfigurationTask
   readonly ownership: OwnershipTask
   readonly slots: SlotTask
-  readonly frontDoor: RequestDispatcher
+  readonly requestDispatcher: RequestDispatcher
   readonly server: CallerServer
   readonly jobs: JobTask
   readonly placement: PlacementTask
@@ -81,18 +81,18 @@
     this.components.membership.announceLeaving()
     events.record('instanceStopping')
     await this.components.server.stopListening(deadline)
-    this.components.frontDoor.stopAccepting()
+    this.components.requestDispatcher.stopAccepting()
     const drained = this.components.server.drain(deadline)
     let returned = false
-    while (this.components.frontDoor.activeRequests > 0 && performance.now() < deadline && !this.isDisposed) {
-      if (!returned && this.components.frontDoor.waitingRequests === 0) {
+    while (this.components.requestDispatcher.activeRequests > 0 && performance.now() < deadline && !this.isDisposed) {
+      if (!returned && this.components.requestDispatcher.waitingRequests === 0) {
         this.components.slots.returnGrants()
         returned = true
       }
       await delay(STOP_POLL_MILLISECONDS)
     }
     this.components.slots.returnGrants()
-    const unfinished = this.components.frontDoor.activeRequests
+    const unfinished = this.components.requestDispatcher.activeRequests
     await this.components.ownership.release(RELEASE_TIMEOUT_MILLISECONDS)
     const cutOff = Math.max(unfinished, await drained)
     if (cutOff > 0) logger.warn('the time bound of the stop has passed; requests are cut off', { count: cutOff })
--- a/src/programs/wiring.ts
+++ b/src/programs/wiring.ts
@@ -132,7 +132,7 @@
   const operators = new OperatorApi(context, configuration, ownership, placement, jobs, frontDoor, membership.membership, links, metrics, requests, () => followers.reduce((sum, follower) => sum + follower.newerRecords, 0), () => instance.isReady)
   const jobApi = new JobApi(context, jobs, placement, membership.membership, agent)
   const server = own(new CallerServer(configuration, frontDoor, jobApi, operators, keys, forwarder, () => instance.isReady))
-  const instance: EntryInstance = new EntryInstance(context, { followers, links, membership, configuration, ownership, slots, frontDoor, server, jobs, placement, disposables: owned })
+  const instance: EntryInstance = new EntryInstance(context, { followers, links, membership, configuration, ownership, slots, requestDispatcher: frontDoor, server, jobs, placement, disposables: owned })
   return instance
 }
 
--- a/test/entry/entryInstance.test.ts
+++ b/test/entry/entryInstance.test.ts
@@ -74,7 +74,7 @@
     for (const testCase of CASES) callers.set(testCase, await connectKept(port))
     for (const [{ before }, caller] of callers) caller.write(before)
     const running = CASES.flatMap(({ before, expected }) => expected[0] === 200 ? [before] : []).join('').split(' HTTP/1.1').length - 1
-    await untilTrue(() => instance.components.frontDoor.activeRequests === running)
+    await untilTrue(() => instance.components.requestDispatcher.activeRequests === running)
     for (const [{ atStop }, caller] of callers) caller.write(atStop)
     unaccepted = Array.from({ length: BACKLOG }, () => new RawCaller(port))
     for (const caller of unaccepted) caller.write(POST)
--- a/test/fakes/fakeSite.ts
+++ b/test/fakes/fakeSite.ts
@@ -288,7 +288,7 @@
     const headers: Array<[string, string]> = [[SUBMISSION_HEADER, submission]]
     if (key !== undefined) headers.push([CALLER_HEADERS.idempotencyKey, key])
     const urgency: Urgency = service === 'booking' ? 'urgent' : service === 'lookup' ? 'normal' : 'deferrable'
-    const answer = await instance.entry.components.frontDoor.serve({
+    const answer = await instance.entry.components.requestDispatcher.serve({
       identity: submission, service, method: 'POST', path: `/${submission}`, headers, body: RequestBody.of(Buffer.from(submission)), urgency, deadline, signal: new AbortController().signal
     })
     if (answer.kind === 'error') {
