--- a/src/entry/callerRequest.ts
+++ b/src/entry/callerRequest.ts
@@ -20,7 +20,7 @@
 }
 
 /** What the caller gets. */
-export type CallerAnswer =
+export type ServingResult =
   | { readonly kind: 'answer', readonly status: number, readonly headers: Record<string, string | string[]>, readonly body: Readable }
   | { readonly kind: 'error', readonly error: ServingError }
 
@@ -42,7 +42,7 @@
   mayHaveRun = false
   private settled = false
 
-  constructor (readonly request: CallerRequest, readonly service: Service, private readonly resolve: (answer: CallerAnswer) => void) {}
+  constructor (readonly request: CallerRequest, readonly service: Service, private readonly resolve: (answer: ServingResult) => void) {}
 
   get identity (): string {
     return this.request.identity
@@ -66,7 +66,7 @@
   }
 
   /** Gives the request its answer; returns false if it has one, in which case the new one is to be discarded. */
-  settle (answer: CallerAnswer): boolean {
+  settle (answer: ServingResult): boolean {
     if (this.settled) return false
     this.settled = true
     this.resolve(this.mayHaveRun ? withoutNotRun(answer) : answer)
@@ -75,13 +75,13 @@
 }
 
 /** An error after an attempt of unknown outcome must not say that the request has not run. */
-function withoutNotRun (answer: CallerAnswer): CallerAnswer {
+function withoutNotRun (answer: ServingResult): ServingResult {
   if (answer.kind === 'answer' || answer.error.verdict !== 'notRun') return answer
   const { message, retryAfterSeconds } = answer.error
   return errorAnswer({ code: 'outcomeUnknown', verdict: 'mayHaveRun', message: `an earlier attempt may have run; ${message}`, retryAfterSeconds })
 }
 
 /** An error answer. */
-export function errorAnswer (error: ServingError): CallerAnswer {
+export function errorAnswer (error: ServingError): ServingResult {
   return { kind: 'error', error }
 }
--- a/src/entry/callerServer.ts
+++ b/src/entry/callerServer.ts
@@ -8,7 +8,7 @@
 import { CALLER_HEADERS } from '../requests/headers.js'
 import type { ConfigurationTask } from './configurationTask.js'
 import { monotonicNow } from './entryContext.js'
-import type { CallerAnswer } from './callerRequest.js'
+import type { ServingResult } from './callerRequest.js'
 import { STOPPING_ERROR, type RequestDispatcher } from './requestDispatcher.js'
 import { REPLAYABLE_BODY_BYTES, RequestBody } from './requestBody.js'
 import { errorResponse } from './errorResponse.js'
@@ -153,7 +153,7 @@
   }
 }
 
-function toResponse (answer: CallerAnswer): Response {
+function toResponse (answer: ServingResult): Response {
   if (answer.kind === 'error') return errorResponse(answer.error)
   const headers = new Headers()
   for (const [name, value] of Object.entries(answer.headers)) {
--- a/src/entry/forwarder.ts
+++ b/src/entry/forwarder.ts
@@ -4,7 +4,7 @@
 import { createPeerProof, isValidPeerProof, PEER_PROOF_HEADER, PROOF_VALID_MILLISECONDS } from '../links/peerProof.js'
 import type { ListedEntry, Membership } from '../machines/membership.js'
 import { CALLER_HEADERS, endToEndHeaders } from '../requests/headers.js'
-import { errorAnswer, type CallerAnswer, type PendingRequest } from './callerRequest.js'
+import { errorAnswer, type ServingResult, type PendingRequest } from './callerRequest.js'
 import { monotonicNow, type EntryContext } from './entryContext.js'
 
 /** Connections to one instance of another failure domain. */
@@ -37,7 +37,7 @@
   }
 
   /** Sends a request to an instance of another failure domain. The verdict rules are those of an executor. */
-  async forward (pending: PendingRequest, target: ListedEntry): Promise<CallerAnswer> {
+  async forward (pending: PendingRequest, target: ListedEntry): Promise<ServingResult> {
     const { request } = pending
     const path = `/services/${request.service}${request.path}`
     const from = this.context.settings.instance
@@ -72,7 +72,7 @@
   }
 
   /** An error of the peer stays an error with its verdict; anything else is the executor's answer. */
-  private async passOn (pending: PendingRequest, answer: ExecutorAnswer): Promise<CallerAnswer> {
+  private async passOn (pending: PendingRequest, answer: ExecutorAnswer): Promise<ServingResult> {
     answer.body.on('error', () => {})
     this.context.events.clock.observe(Number(answer.headers[CALLER_HEADERS.logicalTime] ?? 0))
     if (answer.headers[CALLER_HEADERS.verdict] === undefined) {
--- a/src/entry/keyGate.ts
+++ b/src/entry/keyGate.ts
@@ -2,7 +2,7 @@
 import type { ServingError } from '../contracts/verdict.js'
 import type { Service } from '../contracts/siteText.js'
 import { CALLER_HEADERS } from '../requests/headers.js'
-import { errorAnswer, isIdempotent, type CallerAnswer, type CallerRequest } from './callerRequest.js'
+import { errorAnswer, isIdempotent, type ServingResult, type CallerRequest } from './callerRequest.js'
 import { RECORDED_ANSWER_BYTES, type KeyOutcome, type KeyTask } from './keyTask.js'
 
 const KEY_UNAVAILABLE: ServingError = { code: 'keyUnavailable', verdict: 'notRun', message: 'the idempotency key cannot be checked at the moment; send the request again with the same key', retryAfterSeconds: 2 }
@@ -14,7 +14,7 @@
   constructor (private readonly keys: Pick<KeyTask, 'begin' | 'end'>) {}
 
   /** Runs the request, or answers it from what is known of its key. The instance that forwarded a request has checked its key. */
-  async serve (request: CallerRequest, service: Service, run: () => Promise<CallerAnswer>): Promise<CallerAnswer> {
+  async serve (request: CallerRequest, service: Service, run: () => Promise<ServingResult>): Promise<ServingResult> {
     const header = request.headers.find(([name]) => name.toLowerCase() === CALLER_HEADERS.idempotencyKey)?.[1]
     if (header === undefined || request.isForwarded || isIdempotent(service, request.method)) return await run()
     const key = `${request.service}:${header}`
@@ -36,7 +36,7 @@
   }
 
   /** An unknown outcome is not recorded: the key stays with the request until the window has passed. */
-  private record (key: string, request: string, answer: CallerAnswer): CallerAnswer {
+  private record (key: string, request: string, answer: ServingResult): ServingResult {
     if (answer.kind === 'error') {
       if (answer.error.verdict === 'notRun') this.keys.end(key, request, { kind: 'notRun' })
       return answer
--- a/src/entry/requestDispatcher.ts
+++ b/src/entry/requestDispatcher.ts
@@ -11,7 +11,7 @@
 import { RetryBudget } from '../requests/retryBudget.js'
 import { CALLER_HEADERS } from '../requests/headers.js'
 import type { SlotHolder } from '../requests/slotHolder.js'
-import { errorAnswer, PendingRequest, type CallerAnswer, type CallerRequest } from './callerRequest.js'
+import { errorAnswer, PendingRequest, type ServingResult, type CallerRequest } from './callerRequest.js'
 import type { ConfigurationTask } from './configurationTask.js'
 import { monotonicNow, type EntryContext } from './entryContext.js'
 import type { Forwarder } from './forwarder.js'
@@ -117,7 +117,7 @@
   }
 
   /** Serves a request. Resolves with the head of the answer or an error; does not reject. */
-  async serve (request: CallerRequest): Promise<CallerAnswer> {
+  async serve (request: CallerRequest): Promise<ServingResult> {
     const text = this.configuration.inForce?.text
     const service = text?.services[request.service]
     if (this.stopping) return refuse(request, STOPPING_ERROR)
@@ -126,7 +126,7 @@
     if (monotonicNow() >= request.deadline) return refuse(request, { code: 'deadlineExpired', verdict: 'notRun', message: 'the deadline has passed' })
     this.activeCount += 1
     this.context.events.record('requestAccepted', { request: request.identity, service: request.service, urgency: request.urgency })
-    const run = async (): Promise<CallerAnswer> => await new Promise(resolve => this.enqueue(new PendingRequest(request, service, resolve), text.limits.queuedRequests))
+    const run = async (): Promise<ServingResult> => await new Promise(resolve => this.enqueue(new PendingRequest(request, service, resolve), text.limits.queuedRequests))
     const answer = await this.keys.serve(request, service, run)
     this.noteAnswer(request, answer)
     return answer
@@ -239,7 +239,7 @@
     if (ejectOutlier(executor, pool, monotonicNow())) this.context.logger.warn('an executor fails and gets no requests for a while', { executor: executor.name })
   }
 
-  private noteAnswer (request: CallerRequest, answer: CallerAnswer): void {
+  private noteAnswer (request: CallerRequest, answer: ServingResult): void {
     if (answer.kind === 'error') {
       this.activeCount -= 1
       request.body.discard()
@@ -276,7 +276,7 @@
   pending.settle(errorAnswer({ code, verdict: 'notRun', message, retryAfterSeconds }))
 }
 
-function refuse (request: CallerRequest, error: ServingError): CallerAnswer {
+function refuse (request: CallerRequest, error: ServingError): ServingResult {
   request.body.discard()
   return errorAnswer(error)
 }
