--- a/src/entry/callerRequest.ts
+++ b/src/entry/callerRequest.ts
@@ -78,10 +78,10 @@
 function withoutNotRun (answer: ServingResult): ServingResult {
   if (answer.kind === 'answer' || answer.error.verdict !== 'notRun') return answer
   const { message, retryAfterSeconds } = answer.error
-  return errorAnswer({ code: 'outcomeUnknown', verdict: 'mayHaveRun', message: `an earlier attempt may have run; ${message}`, retryAfterSeconds })
+  return errorResult({ code: 'outcomeUnknown', verdict: 'mayHaveRun', message: `an earlier attempt may have run; ${message}`, retryAfterSeconds })
 }
 
 /** An error answer. */
-export function errorAnswer (error: ServingError): ServingResult {
+export function errorResult (error: ServingError): ServingResult {
   return { kind: 'error', error }
 }
--- a/src/entry/forwarder.ts
+++ b/src/entry/forwarder.ts
@@ -4,7 +4,7 @@
 import { createPeerProof, isValidPeerProof, PEER_PROOF_HEADER, PROOF_VALID_MILLISECONDS } from '../links/peerProof.js'
 import type { ListedEntry, Membership } from '../machines/membership.js'
 import { CALLER_HEADERS, endToEndHeaders } from '../requests/headers.js'
-import { errorAnswer, type ServingResult, type PendingRequest } from './callerRequest.js'
+import { errorResult, type ServingResult, type PendingRequest } from './callerRequest.js'
 import { monotonicNow, type EntryContext } from './entryContext.js'
 
 /** Connections to one instance of another failure domain. */
@@ -43,7 +43,7 @@
     const from = this.context.settings.instance
     const headers = endToEndHeaders(request.headers, ['host', 'content-length', 'expect'])
     const remaining = Math.floor(request.deadline - monotonicNow())
-    if (remaining <= 0) return errorAnswer({ code: 'deadlineExpired', verdict: 'notRun', message: 'the deadline passed before the request could be forwarded' })
+    if (remaining <= 0) return errorResult({ code: 'deadlineExpired', verdict: 'notRun', message: 'the deadline passed before the request could be forwarded' })
     headers[CALLER_HEADERS.request] = request.identity
     headers[CALLER_HEADERS.urgency] = request.urgency
     headers[CALLER_HEADERS.deadlineMilliseconds] = String(remaining)
@@ -52,8 +52,8 @@
     headers[PEER_PROOF_HEADER] = createPeerProof(this.context.settings.linkKeys[0] as string, { method: request.method, path, identity: request.identity, from }, Date.now())
     this.context.events.record('requestForwarded', { request: request.identity, peer: target.name })
     const result = await this.client.send(target.callerAddress, { method: request.method, path, headers, body: request.body.open() }, remaining, PEER_CONNECTIONS, request.signal, () => monotonicNow() < request.deadline)
-    if (result.kind === 'notSent') return errorAnswer(UNREACHABLE)
-    if (result.kind === 'mayHaveRun') return errorAnswer(result.timedOut ? TIMED_OUT : OUTCOME_UNKNOWN)
+    if (result.kind === 'notSent') return errorResult(UNREACHABLE)
+    if (result.kind === 'mayHaveRun') return errorResult(result.timedOut ? TIMED_OUT : OUTCOME_UNKNOWN)
     return await this.passOn(pending, result.answer)
   }
 
@@ -84,11 +84,11 @@
       let text = ''
       for await (const chunk of answer.body) {
         text += String(chunk)
-        if (text.length > MAXIMUM_ERROR_BYTES) return errorAnswer(OUTCOME_UNKNOWN)
+        if (text.length > MAXIMUM_ERROR_BYTES) return errorResult(OUTCOME_UNKNOWN)
       }
-      return errorAnswer(servingErrorSchema.parse((JSON.parse(text) as { error?: unknown }).error))
+      return errorResult(servingErrorSchema.parse((JSON.parse(text) as { error?: unknown }).error))
     } catch {
-      return errorAnswer(OUTCOME_UNKNOWN)
+      return errorResult(OUTCOME_UNKNOWN)
     }
   }
 }
--- a/src/entry/keyGate.ts
+++ b/src/entry/keyGate.ts
@@ -2,7 +2,7 @@
 import type { ServingError } from '../contracts/verdict.js'
 import type { Service } from '../contracts/siteText.js'
 import { CALLER_HEADERS } from '../requests/headers.js'
-import { errorAnswer, isIdempotent, type ServingResult, type CallerRequest } from './callerRequest.js'
+import { errorResult, isIdempotent, type ServingResult, type CallerRequest } from './callerRequest.js'
 import { RECORDED_ANSWER_BYTES, type KeyOutcome, type KeyTask } from './keyTask.js'
 
 const KEY_UNAVAILABLE: ServingError = { code: 'keyUnavailable', verdict: 'notRun', message: 'the idempotency key cannot be checked at the moment; send the request again with the same key', retryAfterSeconds: 2 }
@@ -21,11 +21,11 @@
     const decision = await this.keys.begin(key, request.identity, request.deadline)
     switch (decision.kind) {
       case 'unavailable':
-        return errorAnswer(KEY_UNAVAILABLE)
+        return errorResult(KEY_UNAVAILABLE)
       case 'outcomeUnknown':
-        return errorAnswer(OUTCOME_UNKNOWN)
+        return errorResult(OUTCOME_UNKNOWN)
       case 'alreadyRan':
-        return errorAnswer(ALREADY_RAN)
+        return errorResult(ALREADY_RAN)
       case 'recorded': {
         const headers: Record<string, string> = decision.contentType === undefined ? {} : { 'content-type': decision.contentType }
         return { kind: 'answer', status: decision.status, headers, body: Readable.from([Buffer.from(decision.bodyBase64, 'base64')], { objectMode: false }) }
--- a/src/entry/requestDispatcher.ts
+++ b/src/entry/requestDispatcher.ts
@@ -11,7 +11,7 @@
 import { RetryBudget } from '../requests/retryBudget.js'
 import { CALLER_HEADERS } from '../requests/headers.js'
 import type { SlotHolder } from '../requests/slotHolder.js'
-import { errorAnswer, PendingRequest, type ServingResult, type CallerRequest } from './callerRequest.js'
+import { errorResult, PendingRequest, type ServingResult, type CallerRequest } from './callerRequest.js'
 import type { ConfigurationTask } from './configurationTask.js'
 import { monotonicNow, type EntryContext } from './entryContext.js'
 import type { Forwarder } from './forwarder.js'
@@ -178,7 +178,7 @@
   private onCallerGone (pending: PendingRequest): void {
     this.poolOf(pending.service).remove(pending)
     pending.request.body.discard()
-    pending.settle(errorAnswer({ code: 'cancelled', verdict: pending.tried.size === 0 ? 'notRun' : 'mayHaveRun', message: 'the caller has gone' }))
+    pending.settle(errorResult({ code: 'cancelled', verdict: pending.tried.size === 0 ? 'notRun' : 'mayHaveRun', message: 'the caller has gone' }))
   }
 
   private poolOf (service: Service): PoolDispatcher<PendingRequest> {
@@ -201,7 +201,7 @@
     if (failed === undefined) return
     if (failed.error.verdict === 'mayHaveRun') pending.mayHaveRun = true
     if (this.mayRetry(pending, failed)) await this.repeat(pending, failed)
-    else pending.settle(errorAnswer(failed.error))
+    else pending.settle(errorResult(failed.error))
   }
 
   private mayRetry (pending: PendingRequest, failed: FailedAttempt): boolean {
@@ -213,7 +213,7 @@
   private async repeat (pending: PendingRequest, failed: FailedAttempt): Promise<void> {
     const wait = backoffMilliseconds(pending.attempts + pending.unsentAttempts, RETRY_BASE_MILLISECONDS, RETRY_MAXIMUM_MILLISECONDS, this.context.random.fraction())
     if (monotonicNow() + wait >= pending.deadline) {
-      pending.settle(errorAnswer(failed.error))
+      pending.settle(errorResult(failed.error))
       return
     }
     this.context.events.record('requestRetried', { request: pending.identity })
@@ -273,10 +273,10 @@
 
 /** Ends a request that is not sent, or not sent again. */
 function settleWith (pending: PendingRequest, code: Extract<ServingErrorCode, 'queueFull' | 'deadlineUnreachable' | 'noExecutor' | 'deadlineExpired'>, message: string, retryAfterSeconds: number): void {
-  pending.settle(errorAnswer({ code, verdict: 'notRun', message, retryAfterSeconds }))
+  pending.settle(errorResult({ code, verdict: 'notRun', message, retryAfterSeconds }))
 }
 
 function refuse (request: CallerRequest, error: ServingError): ServingResult {
   request.body.discard()
-  return errorAnswer(error)
+  return errorResult(error)
 }
