--- a/src/entry/forwarder.ts
+++ b/src/entry/forwarder.ts
@@ -37,7 +37,7 @@
   }
 
   /** Sends a request to an instance of another failure domain. The verdict rules are those of an executor. */
-  async forward (pending: PendingRequest, target: ListedEntry): Promise<ServingResult> {
+  async forward (pending: PendingRequest, peer: ListedEntry): Promise<ServingResult> {
     const { request } = pending
     const path = `/services/${request.service}${request.path}`
     const from = this.context.settings.instance
@@ -50,8 +50,8 @@
     headers[CALLER_HEADERS.forwardedFrom] = from
     headers[CALLER_HEADERS.logicalTime] = String(this.context.events.clock.tick())
     headers[PEER_PROOF_HEADER] = createPeerProof(this.context.settings.linkKeys[0] as string, { method: request.method, path, identity: request.identity, from }, Date.now())
-    this.context.events.record('requestForwarded', { request: request.identity, peer: target.name })
-    const result = await this.client.send(target.callerAddress, { method: request.method, path, headers, body: request.body.open() }, remaining, PEER_CONNECTIONS, request.signal, () => monotonicNow() < request.deadline)
+    this.context.events.record('requestForwarded', { request: request.identity, peer: peer.name })
+    const result = await this.client.send(peer.callerAddress, { method: request.method, path, headers, body: request.body.open() }, remaining, PEER_CONNECTIONS, request.signal, () => monotonicNow() < request.deadline)
     if (result.kind === 'notSent') return errorResult(UNREACHABLE)
     if (result.kind === 'mayHaveRun') return errorResult(result.timedOut ? TIMED_OUT : OUTCOME_UNKNOWN)
     return await this.passOn(pending, result.answer)
