--- a/src/entry/forwarder.ts
+++ b/src/entry/forwarder.ts
@@ -27,7 +27,7 @@
   ) {}
 
   /** An instance of another failure domain that has an executor for the request; a request is forwarded only once. */
-  target (pending: PendingRequest, text: SiteText): ListedEntry | undefined {
+  selectTarget (pending: PendingRequest, text: SiteText): ListedEntry | undefined {
     if (pending.request.isForwarded) return undefined
     const pool = pending.service.executorPool
     const domains = Object.keys(text.executorPools[pool]?.executors ?? {}).filter(domain => domain !== this.context.settings.failureDomain)
--- a/src/entry/requestDispatcher.ts
+++ b/src/entry/requestDispatcher.ts
@@ -166,7 +166,7 @@
   /** Forwards a request that no executor of the own failure domain can serve; returns false if there is nowhere to forward it. */
   private forward (pending: PendingRequest): boolean {
     const text = this.configuration.inForce?.text
-    const target = text === undefined ? undefined : this.forwarder.target(pending, text)
+    const target = text === undefined ? undefined : this.forwarder.selectTarget(pending, text)
     if (target === undefined || !pending.request.body.canBeSent) return false
     pending.tried.add(target.name)
     this.forwarder.forward(pending, target).then(answer => {
