--- a/src/entry/callerServer.ts
+++ b/src/entry/callerServer.ts
@@ -102,7 +102,7 @@
       return errorResponse({ code: 'unknownService', verdict: 'notRun', message: `there is no service '${serviceName}'` })
     }
     const path = event.url.pathname + event.url.search
-    if (forwardedFrom !== null && !this.forwarder.accepts({ method: event.req.method, path, identity, from: forwardedFrom, proof: event.req.headers.get(PEER_PROOF_HEADER) ?? '' })) {
+    if (forwardedFrom !== null && !this.forwarder.acceptOnce({ method: event.req.method, path, identity, from: forwardedFrom, proof: event.req.headers.get(PEER_PROOF_HEADER) ?? '' })) {
       return errorResponse({ code: 'unauthorized', verdict: 'notRun', message: 'the forwarded request carries no valid proof of a peer, or has arrived before' })
     }
     const deadlineMilliseconds = parseDeadline(event.req.headers.get(CALLER_HEADERS.deadlineMilliseconds), service?.deadlineMilliseconds ?? 0)
--- a/src/entry/forwarder.ts
+++ b/src/entry/forwarder.ts
@@ -58,7 +58,7 @@
   }
 
   /** Whether a request that claims to be forwarded proves that, and has not arrived before. */
-  accepts (request: { readonly method: string, readonly path: string, readonly identity: string, readonly from: string, readonly proof: string }): boolean {
+  acceptOnce (request: { readonly method: string, readonly path: string, readonly identity: string, readonly from: string, readonly proof: string }): boolean {
     const now = Date.now()
     if (!isValidPeerProof(request.proof, this.context.settings.linkKeys, request, now)) return false
     for (const [identity, until] of this.seen) {
