--- a/src/entry/requestHistory.ts
+++ b/src/entry/requestHistory.ts
@@ -3,7 +3,7 @@
 import type { SystemEvent } from '../contracts/events.js'
 
 /** What an entry instance remembers of one request. Durations are milliseconds. */
-export interface RememberedRequest {
+export interface TrackedRequest {
   readonly identity: string
   readonly service: string
   readonly urgency: string
@@ -25,7 +25,7 @@
 
 /** Ring of the most recent requests of an entry instance, built from its events. */
 export class RequestHistory extends DisposableObject {
-  private readonly requests = new Map<string, RememberedRequest>()
+  private readonly requests = new Map<string, TrackedRequest>()
 
   constructor (events: EventLog, private readonly capacity = REMEMBERED_REQUESTS) {
     super()
@@ -36,7 +36,7 @@
     return this.requests.size
   }
 
-  find (identity: string): RememberedRequest | undefined {
+  find (identity: string): TrackedRequest | undefined {
     return this.requests.get(identity)
   }
 
@@ -68,7 +68,7 @@
   }
 }
 
-function update (request: RememberedRequest, event: SystemEvent): void {
+function update (request: TrackedRequest, event: SystemEvent): void {
   const elapsed = Date.parse(event.time) - Date.parse(request.arrivedAt)
   switch (event.kind) {
     case 'requestDispatched':
@@ -89,7 +89,7 @@
   }
 }
 
-function describeOutcome (request: RememberedRequest): string {
+function describeOutcome (request: TrackedRequest): string {
   switch (request.outcome) {
     case 'waiting':
       return request.executors.length === 0 ? 'it waits for a slot of an executor' : 'it waits to be sent again'
