--- a/src/entry/callerServer.ts
+++ b/src/entry/callerServer.ts
@@ -67,7 +67,7 @@
     app.get('/jobs/:job', async event => await this.jobs.read(event.context.params?.job ?? '', event.req.headers.has(CALLER_HEADERS.forwardedFrom)))
     app.delete('/jobs/:job', async event => await this.jobs.cancel(event.context.params?.job ?? ''))
     app.post('/peer/keys', async event => await this.onKeyQuestion(event))
-    this.operators.route(app)
+    this.operators.registerRoutes(app)
     return app
   }
 
--- a/src/entry/operatorApi.ts
+++ b/src/entry/operatorApi.ts
@@ -29,7 +29,7 @@
     private readonly isReady: () => boolean
   ) {}
 
-  route (app: H3): void {
+  registerRoutes (app: H3): void {
     app.get('/metrics', async () => await this.metrics.response())
     app.get('/operator/status', event => this.authorized(event, () => this.status()))
     app.get('/operator/configuration', event => this.authorized(event, () => {
