--- a/src/entry/callerRequest.ts
+++ b/src/entry/callerRequest.ts
@@ -66,18 +66,18 @@
   }
 
   /** Gives the request its answer; returns false if it has one, in which case the new one is to be discarded. */
-  settle (answer: ServingResult): boolean {
+  settle (result: ServingResult): boolean {
     if (this.settled) return false
     this.settled = true
-    this.resolve(this.mayHaveRun ? withoutNotRun(answer) : answer)
+    this.resolve(this.mayHaveRun ? replaceNotRun(result) : result)
     return true
   }
 }
 
 /** An error after an attempt of unknown outcome must not say that the request has not run. */
-function withoutNotRun (answer: ServingResult): ServingResult {
-  if (answer.kind === 'answer' || answer.error.verdict !== 'notRun') return answer
-  const { message, retryAfterSeconds } = answer.error
+function replaceNotRun (result: ServingResult): ServingResult {
+  if (result.kind === 'answer' || result.error.verdict !== 'notRun') return result
+  const { message, retryAfterSeconds } = result.error
   return errorResult({ code: 'outcomeUnknown', verdict: 'mayHaveRun', message: `an earlier attempt may have run; ${message}`, retryAfterSeconds })
 }
 
--- a/src/entry/callerServer.ts
+++ b/src/entry/callerServer.ts
@@ -22,7 +22,7 @@
 /** Body limit before a configuration is in force, in bytes. */
 const DEFAULT_BODY_LIMIT_BYTES = 1024 * 1024
 /** Longest time in which the body of a submission may arrive, in milliseconds; node:http gives a request up after the same time. */
-const SUBMISSION_BODY_MILLISECONDS = 300_000
+const SUBMISSION_BODY_TIMEOUT_MILLISECONDS = 300_000
 
 /** HTTP towards callers and operators. */
 export class CallerServer extends DisposableObject {
@@ -30,7 +30,7 @@
 
   constructor (
     private readonly configuration: ConfigurationTask,
-    private readonly frontDoor: RequestDispatcher,
+    private readonly requestDispatcher: RequestDispatcher,
     private readonly jobs: JobApi,
     private readonly operators: OperatorApi,
     private readonly keys: Pick<KeyTask, 'onPeer'>,
@@ -60,42 +60,42 @@
     const app = new H3()
     app.get('/health', () => new Response('ok\n'))
     app.get('/ready', () => new Response(this.isReady() ? 'ready\n' : 'not ready\n', { status: this.isReady() ? 200 : 503 }))
-    app.all('/services/:service', async event => await this.onRequest(event))
-    app.all('/services/:service/**', async event => await this.onRequest(event))
-    app.post('/jobs', async event => await this.onSubmit(event))
+    app.all('/services/:service', async event => await this.onServiceRequest(event))
+    app.all('/services/:service/**', async event => await this.onServiceRequest(event))
+    app.post('/jobs', async event => await this.onSubmission(event))
     app.get('/jobs', () => this.jobs.list())
     app.get('/jobs/:job', async event => await this.jobs.read(event.context.params?.job ?? '', event.req.headers.has(CALLER_HEADERS.forwardedFrom)))
     app.delete('/jobs/:job', async event => await this.jobs.cancel(event.context.params?.job ?? ''))
-    app.post('/peer/keys', async event => await this.onKeyQuestion(event))
+    app.post('/peer/keys', async event => await this.onPeerKeyRequest(event))
     this.operators.registerRoutes(app)
     return app
   }
 
-  private async onSubmit (event: H3Event): Promise<Response> {
-    if (this.frontDoor.isStopping) return errorResponse(STOPPING_ERROR)
-    const body = await this.readRequestBody(event.req, SUBMISSION_BODY_MILLISECONDS, this.bodyLimit())
+  private async onSubmission (event: H3Event): Promise<Response> {
+    if (this.requestDispatcher.isStopping) return errorResponse(STOPPING_ERROR)
+    const body = await this.readRequestBody(event.req, SUBMISSION_BODY_TIMEOUT_MILLISECONDS, this.bodyLimit())
     if (!(body instanceof RequestBody)) return errorResponse(body)
     const parsed = parseSubmission(body.bytes)
     if ('error' in parsed) return errorResponse(parsed.error)
     return await this.jobs.submit(parsed.submission, event.req.headers.get(CALLER_HEADERS.idempotencyKey) ?? undefined)
   }
 
-  private async onKeyQuestion (event: H3Event): Promise<Response> {
+  private async onPeerKeyRequest (event: H3Event): Promise<Response> {
     const decision = await this.keys.onPeer(event.req)
     if (decision !== undefined) return Response.json(decision)
     return errorResponse({ code: 'unauthorized', verdict: 'notRun', message: 'the request carries no valid proof of a peer' })
   }
 
-  private async onRequest (event: H3Event): Promise<Response> {
+  private async onServiceRequest (event: H3Event): Promise<Response> {
     const forwardedFrom = event.req.headers.get(CALLER_HEADERS.forwardedFrom)
     const identity = forwardedFrom === null ? randomUUID() : event.req.headers.get(CALLER_HEADERS.request) ?? ''
-    const response = await this.onIdentifiedRequest(event, identity, forwardedFrom)
+    const response = await this.serveIdentified(event, identity, forwardedFrom)
     response.headers.set(CALLER_HEADERS.request, identity)
     return response
   }
 
-  private async onIdentifiedRequest (event: H3Event, identity: string, forwardedFrom: string | null): Promise<Response> {
-    if (this.frontDoor.isStopping) return errorResponse(STOPPING_ERROR)
+  private async serveIdentified (event: H3Event, identity: string, forwardedFrom: string | null): Promise<Response> {
+    if (this.requestDispatcher.isStopping) return errorResponse(STOPPING_ERROR)
     const serviceName = event.context.params?.service ?? ''
     const service = this.configuration.inForce?.text.services[serviceName]
     if (this.configuration.inForce !== undefined && service === undefined) {
@@ -112,7 +112,7 @@
     const deadline = monotonicNow() + deadlineMilliseconds
     const body = await this.readRequestBody(event.req, deadlineMilliseconds)
     if (!(body instanceof RequestBody)) return errorResponse(body)
-    const answer = await this.frontDoor.serve({
+    const result = await this.requestDispatcher.serve({
       identity,
       isForwarded: forwardedFrom !== null,
       service: serviceName,
@@ -124,23 +124,23 @@
       deadline,
       signal: event.req.signal
     })
-    return toResponse(answer)
+    return toResponse(result)
   }
 
   /** Reads up to `memoryBytes` of a body; a caller that sends it slowly is given up at the deadline, or when the instance stops. */
-  private async readRequestBody (request: Request, deadlineMilliseconds: number, memoryBytes = REPLAYABLE_BODY_BYTES): Promise<RequestBody | ServingError> {
+  private async readRequestBody (request: Request, deadlineMilliseconds: number, bufferLimitBytes = REPLAYABLE_BODY_BYTES): Promise<RequestBody | ServingError> {
     if (request.body === null) return RequestBody.EMPTY
     const limit = this.bodyLimit()
     const tooLarge: ServingError = { code: 'bodyTooLarge', verdict: 'notRun', message: `the body is larger than ${limit} bytes` }
     if (Number(request.headers.get('content-length') ?? 0) > limit) return tooLarge
     const timeout = AbortSignal.timeout(Math.max(1, deadlineMilliseconds))
     const stop = new AbortController()
-    const subscription = this.frontDoor.onWillStop(() => { stop.abort() })
+    const subscription = this.requestDispatcher.onWillStop(() => { stop.abort() })
     try {
-      const body = await RequestBody.read(request.body, limit, AbortSignal.any([request.signal, timeout, stop.signal]), memoryBytes)
+      const body = await RequestBody.read(request.body, limit, AbortSignal.any([request.signal, timeout, stop.signal]), bufferLimitBytes)
       return body === 'tooLarge' ? tooLarge : body
     } catch {
-      if (this.frontDoor.isStopping) return STOPPING_ERROR
+      if (this.requestDispatcher.isStopping) return STOPPING_ERROR
       if (timeout.aborted) return { code: 'deadlineExpired', verdict: 'notRun', message: 'the body did not arrive before the deadline' }
       return { code: 'cancelled', verdict: 'notRun', message: 'the caller has gone' }
     } finally {
@@ -153,15 +153,15 @@
   }
 }
 
-function toResponse (answer: ServingResult): Response {
-  if (answer.kind === 'error') return errorResponse(answer.error)
+function toResponse (result: ServingResult): Response {
+  if (result.kind === 'error') return errorResponse(result.error)
   const headers = new Headers()
-  for (const [name, value] of Object.entries(answer.headers)) {
+  for (const [name, value] of Object.entries(result.headers)) {
     for (const item of Array.isArray(value) ? value : [value]) headers.append(name, item)
   }
-  const bodyless = answer.status === 204 || answer.status === 304
-  if (bodyless) answer.body.resume()
-  return new Response(bodyless ? null : Readable.toWeb(answer.body) as ReadableStream, { status: answer.status, headers })
+  const bodyless = result.status === 204 || result.status === 304
+  if (bodyless) result.body.resume()
+  return new Response(bodyless ? null : Readable.toWeb(result.body) as ReadableStream, { status: result.status, headers })
 }
 
 function parseSubmission (body: Buffer): { submission: ReturnType<typeof jobSubmissionSchema.parse> } | { error: ServingError } {
--- a/src/entry/entryInstance.ts
+++ b/src/entry/entryInstance.ts
@@ -34,7 +34,7 @@
   readonly links: number
 }
 
-const STOP_POLL_MILLISECONDS = 20
+const STOP_POLL_INTERVAL_MILLISECONDS = 20
 const RELEASE_TIMEOUT_MILLISECONDS = 1000
 
 /** Life cycle of one entry instance. */
@@ -83,13 +83,13 @@
     await this.components.server.stopListening(deadline)
     this.components.requestDispatcher.stopAccepting()
     const drained = this.components.server.drain(deadline)
-    let returned = false
+    let grantsReturned = false
     while (this.components.requestDispatcher.activeRequests > 0 && performance.now() < deadline && !this.isDisposed) {
-      if (!returned && this.components.requestDispatcher.waitingRequests === 0) {
+      if (!grantsReturned && this.components.requestDispatcher.waitingRequests === 0) {
         this.components.slots.returnGrants()
-        returned = true
+        grantsReturned = true
       }
-      await delay(STOP_POLL_MILLISECONDS)
+      await delay(STOP_POLL_INTERVAL_MILLISECONDS)
     }
     this.components.slots.returnGrants()
     const unfinished = this.components.requestDispatcher.activeRequests
--- a/src/entry/forwarder.ts
+++ b/src/entry/forwarder.ts
@@ -9,7 +9,7 @@
 
 /** Connections to one instance of another failure domain. */
 const PEER_CONNECTIONS = 32
-const MAXIMUM_ERROR_BYTES = 16 * 1024
+const MAXIMUM_ERROR_CHARACTERS = 16 * 1024
 
 const UNREACHABLE: ServingError = { code: 'noExecutor', verdict: 'notRun', message: 'no executor serves this failure domain, and no other failure domain could be reached', retryAfterSeconds: 1 }
 const TIMED_OUT: ServingError = { code: 'executorTimeout', verdict: 'mayHaveRun', message: 'another failure domain did not answer in time' }
@@ -18,7 +18,7 @@
 /** Sends requests to instances of other failure domains, and checks those that arrive from there. */
 export class Forwarder {
   /** Identities of forwarded requests that have arrived, with the time until which a proof of them is valid. */
-  private readonly seen = new Map<string, number>()
+  private readonly seenUntil = new Map<string, number>()
 
   constructor (
     private readonly context: EntryContext,
@@ -30,9 +30,9 @@
   selectTarget (pending: PendingRequest, text: SiteText): ListedEntry | undefined {
     if (pending.request.isForwarded) return undefined
     const pool = pending.service.executorPool
-    const domains = Object.keys(text.executorPools[pool]?.executors ?? {}).filter(domain => domain !== this.context.settings.failureDomain)
-    const usable = new Set(domains.filter(domain => this.membership.executors(domain).some(executor => executor.pool === pool && executor.state === 'live')))
-    const entries = this.membership.entries().filter(entry => entry.state === 'live' && usable.has(entry.failureDomain))
+    const otherDomains = Object.keys(text.executorPools[pool]?.executors ?? {}).filter(domain => domain !== this.context.settings.failureDomain)
+    const usableDomains = new Set(otherDomains.filter(domain => this.membership.executors(domain).some(executor => executor.pool === pool && executor.state === 'live')))
+    const entries = this.membership.entries().filter(entry => entry.state === 'live' && usableDomains.has(entry.failureDomain))
     return entries.length === 0 ? undefined : this.context.random.pick(entries)
   }
 
@@ -54,37 +54,37 @@
     const result = await this.client.send(peer.callerAddress, { method: request.method, path, headers, body: request.body.open() }, remaining, PEER_CONNECTIONS, request.signal, () => monotonicNow() < request.deadline)
     if (result.kind === 'notSent') return errorResult(UNREACHABLE)
     if (result.kind === 'mayHaveRun') return errorResult(result.timedOut ? TIMED_OUT : OUTCOME_UNKNOWN)
-    return await this.passOn(pending, result.answer)
+    return await this.relayResponse(pending, result.answer)
   }
 
   /** Whether a request that claims to be forwarded proves that, and has not arrived before. */
   acceptOnce (request: { readonly method: string, readonly path: string, readonly identity: string, readonly from: string, readonly proof: string }): boolean {
     const now = Date.now()
     if (!isValidPeerProof(request.proof, this.context.settings.linkKeys, request, now)) return false
-    for (const [identity, until] of this.seen) {
+    for (const [identity, until] of this.seenUntil) {
       if (now < until) break
-      this.seen.delete(identity)
+      this.seenUntil.delete(identity)
     }
-    if (this.seen.has(request.identity)) return false
+    if (this.seenUntil.has(request.identity)) return false
     // A proof may be from a clock that is ahead by the whole tolerance.
-    this.seen.set(request.identity, now + 2 * PROOF_VALID_MILLISECONDS)
+    this.seenUntil.set(request.identity, now + 2 * PROOF_VALID_MILLISECONDS)
     return true
   }
 
   /** An error of the peer stays an error with its verdict; anything else is the executor's answer. */
-  private async passOn (pending: PendingRequest, answer: ExecutorAnswer): Promise<ServingResult> {
-    answer.body.on('error', () => {})
-    this.context.events.clock.observe(Number(answer.headers[CALLER_HEADERS.logicalTime] ?? 0))
-    if (answer.headers[CALLER_HEADERS.verdict] === undefined) {
-      const headers = endToEndHeaders(Object.entries(answer.headers))
+  private async relayResponse (pending: PendingRequest, response: ExecutorAnswer): Promise<ServingResult> {
+    response.body.on('error', () => {})
+    this.context.events.clock.observe(Number(response.headers[CALLER_HEADERS.logicalTime] ?? 0))
+    if (response.headers[CALLER_HEADERS.verdict] === undefined) {
+      const headers = endToEndHeaders(Object.entries(response.headers))
       headers[CALLER_HEADERS.request] = pending.identity
-      return { kind: 'answer', status: answer.status, headers, body: answer.body }
+      return { kind: 'answer', status: response.status, headers, body: response.body }
     }
     try {
       let text = ''
-      for await (const chunk of answer.body) {
+      for await (const chunk of response.body) {
         text += String(chunk)
-        if (text.length > MAXIMUM_ERROR_BYTES) return errorResult(OUTCOME_UNKNOWN)
+        if (text.length > MAXIMUM_ERROR_CHARACTERS) return errorResult(OUTCOME_UNKNOWN)
       }
       return errorResult(servingErrorSchema.parse((JSON.parse(text) as { error?: unknown }).error))
     } catch {
--- a/src/entry/operatorApi.ts
+++ b/src/entry/operatorApi.ts
@@ -20,29 +20,29 @@
     private readonly ownership: OwnershipTask,
     private readonly placement: PlacementTask,
     private readonly jobs: JobTask,
-    private readonly frontDoor: RequestDispatcher,
+    private readonly requestDispatcher: RequestDispatcher,
     private readonly membership: Membership,
     private readonly links: LinkTransport,
     private readonly metrics: MetricsRegistry,
-    private readonly requests: RequestHistory,
+    private readonly requestHistory: RequestHistory,
     private readonly newerRecords: () => number,
     private readonly isReady: () => boolean
   ) {}
 
   registerRoutes (app: H3): void {
     app.get('/metrics', async () => await this.metrics.response())
-    app.get('/operator/status', event => this.authorized(event, () => this.status()))
-    app.get('/operator/configuration', event => this.authorized(event, () => {
+    app.get('/operator/status', event => this.authorize(event, () => this.status()))
+    app.get('/operator/configuration', event => this.authorize(event, () => {
       const current = this.configuration.inForce
       return Response.json({ revision: current?.revision ?? 0, text: current?.source ?? '' })
     }))
-    app.get('/operator/explain/:subject', event => this.authorized(event, () => this.explain(event.context.params?.subject ?? '')))
+    app.get('/operator/explain/:subject', event => this.authorize(event, () => this.explain(event.context.params?.subject ?? '')))
   }
 
-  private authorized (event: H3Event, answer: () => Response): Response {
-    const given = event.req.headers.get('authorization') ?? ''
-    const accepted = this.context.settings.operatorTokens.some(token => equalSecrets(given, `Bearer ${token}`))
-    if (accepted) return answer()
+  private authorize (event: H3Event, respond: () => Response): Response {
+    const authorization = event.req.headers.get('authorization') ?? ''
+    const accepted = this.context.settings.operatorTokens.some(token => secretsEqual(authorization, `Bearer ${token}`))
+    if (accepted) return respond()
     return errorResponse({ code: 'unauthorized', verdict: 'notRun', message: 'a valid operator token is required' })
   }
 
@@ -60,7 +60,7 @@
       owner: this.ownership.owner?.instance,
       term: this.ownership.term,
       isOwner: this.ownership.isOwner(),
-      activeRequests: this.frontDoor.activeRequests,
+      activeRequests: this.requestDispatcher.activeRequests,
       openJobs: this.jobs.book.open().length,
       outdated: this.newerRecords() > 0,
       newerRecords: this.newerRecords(),
@@ -75,20 +75,20 @@
 
   private explain (subject: string): Response {
     const { instance } = this.context.settings
-    const request = this.requests.explain(subject)
-    if (request !== undefined) return Response.json({ subject, subjectKind: 'request', instance, explanation: request })
-    const booked = this.jobs.book.find(subject)
-    if (booked === undefined) return errorResponse({ code: 'unknownJob', verdict: 'notRun', message: `'${subject}' is not known to this instance` })
-    if (booked.outcome !== undefined) return Response.json({ subject, subjectKind: 'job', instance, explanation: `the job has ended: ${booked.outcome}${booked.reason === undefined ? '' : ` (${booked.reason})`}` })
+    const explanation = this.requestHistory.explain(subject)
+    if (explanation !== undefined) return Response.json({ subject, subjectKind: 'request', instance, explanation })
+    const job = this.jobs.book.find(subject)
+    if (job === undefined) return errorResponse({ code: 'unknownJob', verdict: 'notRun', message: `'${subject}' is not known to this instance` })
+    if (job.outcome !== undefined) return Response.json({ subject, subjectKind: 'job', instance, explanation: `the job has ended: ${job.outcome}${job.reason === undefined ? '' : ` (${job.reason})`}` })
     const scheduler = this.placement.current
     if (scheduler === undefined) {
-      return Response.json({ subject, subjectKind: 'job', instance, owner: this.ownership.owner?.instance ?? 'none', explanation: `ask the owner of ${booked.failureDomain}: ${this.ownership.owner?.instance ?? 'none at present'}` })
+      return Response.json({ subject, subjectKind: 'job', instance, owner: this.ownership.owner?.instance ?? 'none', explanation: `ask the owner of ${job.failureDomain}: ${this.ownership.owner?.instance ?? 'none at present'}` })
     }
     return Response.json({ subject, subjectKind: 'job', instance, owner: instance, explanation: scheduler.explain(subject, monotonicNow()) })
   }
 }
 
-function equalSecrets (left: string, right: string): boolean {
+function secretsEqual (left: string, right: string): boolean {
   const digest = (value: string): Buffer => createHash('sha256').update(value).digest()
   return timingSafeEqual(digest(left), digest(right))
 }
--- a/src/entry/requestBody.ts
+++ b/src/entry/requestBody.ts
@@ -8,9 +8,9 @@
 
 /** Body of a caller's request: in memory if it is small, otherwise streamed. */
 export class RequestBody {
-  private begun = false
+  private streamingStarted = false
 
-  private constructor (private readonly first: Buffer, private readonly rest: ReadableStreamDefaultReader<Uint8Array> | undefined, private readonly limitBytes: number) {}
+  private constructor (private readonly buffered: Buffer, private readonly remainder: ReadableStreamDefaultReader<Uint8Array> | undefined, private readonly limitBytes: number) {}
 
   static readonly EMPTY = new RequestBody(Buffer.alloc(0), undefined, 0)
 
@@ -20,14 +20,14 @@
   }
 
   /** Reads up to `memoryBytes`, and leaves the rest to be streamed; 'tooLarge' if the body is larger than `limitBytes` by then. Rejects if the caller breaks off or `signal` aborts. */
-  static async read (stream: ReadableStream<Uint8Array>, limitBytes: number, signal: AbortSignal, memoryBytes = REPLAYABLE_BODY_BYTES): Promise<RequestBody | 'tooLarge'> {
+  static async read (stream: ReadableStream<Uint8Array>, limitBytes: number, signal: AbortSignal, bufferLimitBytes = REPLAYABLE_BODY_BYTES): Promise<RequestBody | 'tooLarge'> {
     const reader = stream.getReader()
     const cancel = (): void => { reader.cancel().catch(() => {}) }
     signal.addEventListener('abort', cancel, { once: true })
     try {
       const chunks: Uint8Array[] = []
       let size = 0
-      while (size <= memoryBytes) {
+      while (size <= bufferLimitBytes) {
         const { done, value } = await reader.read()
         signal.throwIfAborted()
         if (done) return new RequestBody(Buffer.concat(chunks), undefined, limitBytes)
@@ -43,30 +43,30 @@
 
   /** Whether the body can be sent from its start. */
   get canBeSent (): boolean {
-    return this.rest === undefined || !this.begun
+    return this.remainder === undefined || !this.streamingStarted
   }
 
   /** The part that is in memory. */
   get bytes (): Buffer {
-    return this.first
+    return this.buffered
   }
 
   /** The body for one attempt; a streamed one is read from the caller at the pace of the executor. */
   open (): Buffer | Readable | undefined {
-    if (this.rest !== undefined) return Readable.from(this.chunks(this.rest), { objectMode: false })
-    return this.first.length === 0 ? undefined : this.first
+    if (this.remainder !== undefined) return Readable.from(this.chunks(this.remainder), { objectMode: false })
+    return this.buffered.length === 0 ? undefined : this.buffered
   }
 
   /** Stops reading from the caller. */
   discard (): void {
-    this.rest?.cancel().catch(() => {})
+    this.remainder?.cancel().catch(() => {})
   }
 
-  private async * chunks (rest: ReadableStreamDefaultReader<Uint8Array>): AsyncGenerator<Uint8Array> {
-    this.begun = true
-    let size = this.first.length
-    yield this.first
-    for (let next = await rest.read(); !next.done; next = await rest.read()) {
+  private async * chunks (remainder: ReadableStreamDefaultReader<Uint8Array>): AsyncGenerator<Uint8Array> {
+    this.streamingStarted = true
+    let size = this.buffered.length
+    yield this.buffered
+    for (let next = await remainder.read(); !next.done; next = await remainder.read()) {
       size += next.value.length
       if (size > this.limitBytes) throw new BodyTooLargeError(`the body is larger than ${this.limitBytes} bytes`)
       yield next.value
--- a/src/entry/requestDispatcher.ts
+++ b/src/entry/requestDispatcher.ts
@@ -26,7 +26,7 @@
   reportFreedSlots (): void
 }
 
-const EXPIRY_PERIOD_MILLISECONDS = 50
+const EXPIRY_CHECK_INTERVAL_MILLISECONDS = 50
 const MAXIMUM_ATTEMPTS = 3
 /** Attempts that end before a byte goes out cost an executor nothing, so that more of them are made. */
 const MAXIMUM_UNSENT_ATTEMPTS = 6
@@ -46,7 +46,7 @@
 export class RequestDispatcher extends DisposableObject {
   private readonly pools = new Map<string, PoolDispatcher<PendingRequest>>()
   private readonly executors = new Map<string, Executor>()
-  private readonly budgets = new Map<string, RetryBudget>()
+  private readonly retryBudgets = new Map<string, RetryBudget>()
   private readonly sender: RequestSender
   private activeCount = 0
   private stopping = false
@@ -61,13 +61,13 @@
     private readonly slots: SlotHolder,
     private readonly client: ExecutorClient,
     private readonly chooser: ExecutorChooser,
-    private readonly slotRequests: SlotRequester,
+    private readonly slotRequester: SlotRequester,
     private readonly keys: KeyGate,
     private readonly forwarder: Forwarder
   ) {
     super()
     this.sender = this.register(new RequestSender(context, slots, client, () => this.onSlotReleased(), executor => this.onExecutorFailed(executor)))
-    this.registerInterval(() => this.dispatchAll(), EXPIRY_PERIOD_MILLISECONDS)
+    this.registerInterval(() => this.dispatchAll(), EXPIRY_CHECK_INTERVAL_MILLISECONDS)
     this.register(membership.onDidChange(() => {
       this.refreshExecutors()
       this.dispatchAll()
@@ -126,10 +126,10 @@
     if (monotonicNow() >= request.deadline) return refuse(request, { code: 'deadlineExpired', verdict: 'notRun', message: 'the deadline has passed' })
     this.activeCount += 1
     this.context.events.record('requestAccepted', { request: request.identity, service: request.service, urgency: request.urgency })
-    const run = async (): Promise<ServingResult> => await new Promise(resolve => this.enqueue(new PendingRequest(request, service, resolve), text.limits.queuedRequests))
-    const answer = await this.keys.serve(request, service, run)
-    this.noteAnswer(request, answer)
-    return answer
+    const enqueueRequest = async (): Promise<ServingResult> => await new Promise(resolve => this.enqueue(new PendingRequest(request, service, resolve), text.limits.queuedRequests))
+    const result = await this.keys.serve(request, service, enqueueRequest)
+    this.recordResult(request, result)
+    return result
   }
 
   /** Dispatches what waits as far as slots are free. */
@@ -137,8 +137,8 @@
     const now = monotonicNow()
     for (const pool of this.pools.values()) {
       for (const expired of pool.takeExpired(now)) {
-        const late = expired.deadline <= now
-        settleWith(expired, late ? 'deadlineExpired' : 'noExecutor', late ? 'the deadline passed while the request waited for a slot' : REFUSAL_MESSAGES.noExecutor, 1)
+        const deadlinePassed = expired.deadline <= now
+        settleWithError(expired, deadlinePassed ? 'deadlineExpired' : 'noExecutor', deadlinePassed ? 'the deadline passed while the request waited for a slot' : REFUSAL_MESSAGES.noExecutor, 1)
       }
       this.dispatch(pool, now)
     }
@@ -148,9 +148,9 @@
   private enqueue (pending: PendingRequest, capacity: number): void {
     const pool = this.poolOf(pending.service)
     pool.setCapacity(capacity)
-    pending.request.signal.addEventListener('abort', () => this.onCallerGone(pending), { once: true })
+    pending.request.signal.addEventListener('abort', () => this.onCallerDisconnected(pending), { once: true })
     this.admit(pending)
-    if (pending.request.signal.aborted) this.onCallerGone(pending)
+    if (pending.request.signal.aborted) this.onCallerDisconnected(pending)
   }
 
   private admit (pending: PendingRequest): void {
@@ -158,24 +158,24 @@
     const now = monotonicNow()
     const { refusal, evicted } = pool.admit(pending, now)
     if (refusal?.code === 'noExecutor' && this.forward(pending)) return
-    if (refusal !== undefined) settleWith(pending, refusal.code, REFUSAL_MESSAGES[refusal.code], refusal.retryAfterSeconds)
-    if (evicted !== undefined) settleWith(evicted, 'queueFull', REFUSAL_MESSAGES.queueFull, 1)
+    if (refusal !== undefined) settleWithError(pending, refusal.code, REFUSAL_MESSAGES[refusal.code], refusal.retryAfterSeconds)
+    if (evicted !== undefined) settleWithError(evicted, 'queueFull', REFUSAL_MESSAGES.queueFull, 1)
     this.dispatch(pool, now)
   }
 
   /** Forwards a request that no executor of the own failure domain can serve; returns false if there is nowhere to forward it. */
   private forward (pending: PendingRequest): boolean {
     const text = this.configuration.inForce?.text
-    const target = text === undefined ? undefined : this.forwarder.selectTarget(pending, text)
-    if (target === undefined || !pending.request.body.canBeSent) return false
-    pending.tried.add(target.name)
-    this.forwarder.forward(pending, target).then(answer => {
-      if (!pending.settle(answer) && answer.kind === 'answer') answer.body.destroy()
+    const peer = text === undefined ? undefined : this.forwarder.selectTarget(pending, text)
+    if (peer === undefined || !pending.request.body.canBeSent) return false
+    pending.tried.add(peer.name)
+    this.forwarder.forward(pending, peer).then(result => {
+      if (!pending.settle(result) && result.kind === 'answer') result.body.destroy()
     })
     return true
   }
 
-  private onCallerGone (pending: PendingRequest): void {
+  private onCallerDisconnected (pending: PendingRequest): void {
     this.poolOf(pending.service).remove(pending)
     pending.request.body.discard()
     pending.settle(errorResult({ code: 'cancelled', verdict: pending.tried.size === 0 ? 'notRun' : 'mayHaveRun', message: 'the caller has gone' }))
@@ -192,45 +192,45 @@
 
   private dispatch (pool: PoolDispatcher<PendingRequest>, now: number): void {
     for (let next = pool.next(now); next !== undefined; next = pool.next(now)) this.attempt(next.request, next.executor)
-    if (pool.length > 0) this.slotRequests.requestSlots()
+    if (pool.length > 0) this.slotRequester.requestSlots()
   }
 
   private async attempt (pending: PendingRequest, executor: Executor): Promise<void> {
-    if (pending.attempts === 0 && pending.unsentAttempts === 0) this.budgetOf(pending).onFirstAttempt()
-    const failed = await this.sender.send(pending, executor)
-    if (failed === undefined) return
-    if (failed.error.verdict === 'mayHaveRun') pending.mayHaveRun = true
-    if (this.mayRetry(pending, failed)) await this.repeat(pending, failed)
-    else pending.settle(errorResult(failed.error))
+    if (pending.attempts === 0 && pending.unsentAttempts === 0) this.retryBudgetOf(pending).onFirstAttempt()
+    const failure = await this.sender.send(pending, executor)
+    if (failure === undefined) return
+    if (failure.error.verdict === 'mayHaveRun') pending.mayHaveRun = true
+    if (this.mayRetry(pending, failure)) await this.retry(pending, failure)
+    else pending.settle(errorResult(failure.error))
   }
 
-  private mayRetry (pending: PendingRequest, failed: FailedAttempt): boolean {
-    if (!failed.retryable || pending.isSettled || this.stopping) return false
-    if (!failed.sent) return pending.unsentAttempts < MAXIMUM_UNSENT_ATTEMPTS
-    return pending.attempts < MAXIMUM_ATTEMPTS && this.budgetOf(pending).take()
+  private mayRetry (pending: PendingRequest, failure: FailedAttempt): boolean {
+    if (!failure.retryable || pending.isSettled || this.stopping) return false
+    if (!failure.sent) return pending.unsentAttempts < MAXIMUM_UNSENT_ATTEMPTS
+    return pending.attempts < MAXIMUM_ATTEMPTS && this.retryBudgetOf(pending).take()
   }
 
-  private async repeat (pending: PendingRequest, failed: FailedAttempt): Promise<void> {
-    const wait = backoffMilliseconds(pending.attempts + pending.unsentAttempts, RETRY_BASE_MILLISECONDS, RETRY_MAXIMUM_MILLISECONDS, this.context.random.fraction())
-    if (monotonicNow() + wait >= pending.deadline) {
-      pending.settle(errorResult(failed.error))
+  private async retry (pending: PendingRequest, failure: FailedAttempt): Promise<void> {
+    const backoff = backoffMilliseconds(pending.attempts + pending.unsentAttempts, RETRY_BASE_MILLISECONDS, RETRY_MAXIMUM_MILLISECONDS, this.context.random.fraction())
+    if (monotonicNow() + backoff >= pending.deadline) {
+      pending.settle(errorResult(failure.error))
       return
     }
     this.context.events.record('requestRetried', { request: pending.identity })
-    await delay(wait)
+    await delay(backoff)
     if (!pending.isSettled) this.admit(pending)
   }
 
-  private budgetOf (pending: PendingRequest): RetryBudget {
-    const budget = this.budgets.get(pending.request.service) ?? new RetryBudget()
-    this.budgets.set(pending.request.service, budget)
+  private retryBudgetOf (pending: PendingRequest): RetryBudget {
+    const budget = this.retryBudgets.get(pending.request.service) ?? new RetryBudget()
+    this.retryBudgets.set(pending.request.service, budget)
     return budget
   }
 
   private onSlotReleased (): void {
     const now = monotonicNow()
     for (const pool of this.pools.values()) this.dispatch(pool, now)
-    this.slotRequests.reportFreedSlots()
+    this.slotRequester.reportFreedSlots()
   }
 
   private onExecutorFailed (executor: Executor): void {
@@ -239,16 +239,16 @@
     if (ejectOutlier(executor, pool, monotonicNow())) this.context.logger.warn('an executor fails and gets no requests for a while', { executor: executor.name })
   }
 
-  private noteAnswer (request: CallerRequest, answer: ServingResult): void {
-    if (answer.kind === 'error') {
+  private recordResult (request: CallerRequest, result: ServingResult): void {
+    if (result.kind === 'error') {
       this.activeCount -= 1
       request.body.discard()
-      this.context.events.record('requestFailed', { request: request.identity, detail: `${answer.error.code} ${answer.error.verdict}`, reason: answer.error.message })
+      this.context.events.record('requestFailed', { request: request.identity, detail: `${result.error.code} ${result.error.verdict}`, reason: result.error.message })
       return
     }
-    this.context.events.record('requestAnswered', { request: request.identity, detail: String(answer.status) })
-    answer.headers[CALLER_HEADERS.logicalTime] = String(this.context.events.clock.tick())
-    answer.body.once('close', () => { this.activeCount -= 1 })
+    this.context.events.record('requestAnswered', { request: request.identity, detail: String(result.status) })
+    result.headers[CALLER_HEADERS.logicalTime] = String(this.context.events.clock.tick())
+    result.body.once('close', () => { this.activeCount -= 1 })
   }
 
   private refreshExecutors (): void {
@@ -272,7 +272,7 @@
 }
 
 /** Ends a request that is not sent, or not sent again. */
-function settleWith (pending: PendingRequest, code: Extract<ServingErrorCode, 'queueFull' | 'deadlineUnreachable' | 'noExecutor' | 'deadlineExpired'>, message: string, retryAfterSeconds: number): void {
+function settleWithError (pending: PendingRequest, code: Extract<ServingErrorCode, 'queueFull' | 'deadlineUnreachable' | 'noExecutor' | 'deadlineExpired'>, message: string, retryAfterSeconds: number): void {
   pending.settle(errorResult({ code, verdict: 'notRun', message, retryAfterSeconds }))
 }
 
--- a/src/entry/requestHistory.ts
+++ b/src/entry/requestHistory.ts
@@ -21,13 +21,13 @@
 }
 
 /** Requests that an instance remembers; at 300 bytes each the history stays below 1 MB. */
-const REMEMBERED_REQUESTS = 2000
+const DEFAULT_CAPACITY = 2000
 
 /** Ring of the most recent requests of an entry instance, built from its events. */
 export class RequestHistory extends DisposableObject {
   private readonly requests = new Map<string, TrackedRequest>()
 
-  constructor (events: EventLog, private readonly capacity = REMEMBERED_REQUESTS) {
+  constructor (events: EventLog, private readonly capacity = DEFAULT_CAPACITY) {
     super()
     this.register(events.onDidRecord(event => this.observe(event)))
   }
@@ -52,14 +52,14 @@
   private observe (event: SystemEvent): void {
     if (event.request === undefined) return
     if (event.kind === 'requestAccepted') {
-      this.remember(event)
+      this.add(event)
       return
     }
     const request = this.requests.get(event.request)
     if (request !== undefined) update(request, event)
   }
 
-  private remember (event: SystemEvent): void {
+  private add (event: SystemEvent): void {
     const identity = event.request as string
     this.requests.set(identity, { identity, service: event.service ?? '', urgency: event.urgency ?? '', arrivedAt: event.time, waitedMilliseconds: undefined, executors: [], outcome: 'waiting', code: undefined, reason: undefined, durationMilliseconds: undefined })
     if (this.requests.size <= this.capacity) return
--- a/src/entry/requestSender.ts
+++ b/src/entry/requestSender.ts
@@ -50,8 +50,8 @@
     pending.tried.add(executor.name)
     this.context.events.record('requestDispatched', { request: request.identity, executor: executor.name })
     const timeout = Math.max(1, Math.min(service.maximumRunMilliseconds, request.deadline - acquiredAt))
-    const result = await this.client.send(executor.address, this.outgoing(pending), timeout, this.slots.connections(executor.name, acquiredAt), request.signal, mayStart)
-    if (result.kind === 'answer') return this.onAnswer(pending, executor, result.answer, startedAt)
+    const result = await this.client.send(executor.address, this.createOutgoingRequest(pending), timeout, this.slots.connections(executor.name, acquiredAt), request.signal, mayStart)
+    if (result.kind === 'answer') return this.onResponse(pending, executor, result.answer, startedAt)
     return this.onFailure(pending, executor, result, startedAt)
   }
 
@@ -72,36 +72,36 @@
     return { error, retryable: pending.isIdempotent && canBeSent, sent: true }
   }
 
-  private onAnswer (pending: PendingRequest, executor: Executor, answer: ExecutorAnswer, startedAt: number): FailedAttempt | undefined {
+  private onResponse (pending: PendingRequest, executor: Executor, response: ExecutorAnswer, startedAt: number): FailedAttempt | undefined {
     pending.attempts += 1
-    answer.body.on('error', error => this.context.logger.debug('the answer of an executor was cut short', { executor: executor.name, reason: error.message }))
-    const refused = answer.status === 503 && answer.headers[NOT_RUN_HEADER] !== undefined
-    this.boundAnswer(answer, startedAt + pending.service.maximumRunMilliseconds)
-    answer.body.once('close', () => {
-      if (!answer.body.readableEnded) {
+    response.body.on('error', error => this.context.logger.debug('the answer of an executor was cut short', { executor: executor.name, reason: error.message }))
+    const refused = response.status === 503 && response.headers[NOT_RUN_HEADER] !== undefined
+    this.limitResponseTime(response, startedAt + pending.service.maximumRunMilliseconds)
+    response.body.once('close', () => {
+      if (!response.body.readableEnded) {
         if (refused) this.release(executor)
         else this.releaseAfterRun(pending, executor, startedAt)
         return
       }
-      if (answer.status < 500) executor.recordSuccess(monotonicNow() - startedAt)
+      if (response.status < 500) executor.recordSuccess(monotonicNow() - startedAt)
       this.release(executor)
     })
-    if (answer.status >= 500) this.onExecutorFailed(executor)
+    if (response.status >= 500) this.onExecutorFailed(executor)
     if (refused) {
-      answer.body.resume()
+      response.body.resume()
       return { error: { code: 'executorRefused', verdict: 'notRun', message: 'the executors refuse requests', retryAfterSeconds: 1 }, retryable: pending.request.body.canBeSent, sent: true }
     }
-    const headers = endToEndHeaders(Object.entries(answer.headers), [CALLER_HEADERS.verdict])
+    const headers = endToEndHeaders(Object.entries(response.headers), [CALLER_HEADERS.verdict])
     headers[CALLER_HEADERS.request] = pending.identity
-    this.context.events.clock.observe(Number(answer.headers[CALLER_HEADERS.logicalTime] ?? 0))
-    if (!pending.settle({ kind: 'answer', status: answer.status, headers, body: answer.body })) answer.body.destroy()
+    this.context.events.clock.observe(Number(response.headers[CALLER_HEADERS.logicalTime] ?? 0))
+    if (!pending.settle({ kind: 'answer', status: response.status, headers, body: response.body })) response.body.destroy()
     return undefined
   }
 
   /** A caller that reads slowly holds a slot and a connection no longer than the request could have run. */
-  private boundAnswer (answer: ExecutorAnswer, until: number): void {
-    const timer = this.startTimer(() => answer.body.destroy(new Error('the caller did not read the answer in time')), until)
-    answer.body.once('close', () => this.stopTimer(timer))
+  private limitResponseTime (response: ExecutorAnswer, deadline: number): void {
+    const timer = this.startTimer(() => response.body.destroy(new Error('the caller did not read the answer in time')), deadline)
+    response.body.once('close', () => this.stopTimer(timer))
   }
 
   private release (executor: Executor): void {
@@ -130,7 +130,7 @@
     this.timers.delete(timer)
   }
 
-  private outgoing ({ request }: PendingRequest): OutgoingRequest {
+  private createOutgoingRequest ({ request }: PendingRequest): OutgoingRequest {
     const headers = endToEndHeaders(request.headers, ['host', 'content-length', 'expect', PEER_PROOF_HEADER, CALLER_HEADERS.forwardedFrom])
     headers[CALLER_HEADERS.request] = request.identity
     headers[CALLER_HEADERS.urgency] = request.urgency
--- a/test/entry/callerServer.test.ts
+++ b/test/entry/callerServer.test.ts
@@ -76,7 +76,7 @@
   readonly origin: string
   readonly executors: readonly RawExecutor[]
   readonly slots: SlotHolder
-  readonly frontDoor: RequestDispatcher
+  readonly requestDispatcher: RequestDispatcher
 }
 
 /** A front door with real sockets towards callers and two raw executors, and all slots granted to it. */
@@ -104,10 +104,10 @@
   slots.applyGrants({ sequence: 1, answersReport: sequence, validMilliseconds: 60_000, grants: [0, 1].map(index => ({ executor: `e${index}`, slots: 8, connections: 60 })) })
   const client = owned.add(new HttpExecutorClient())
   const forwarder = new Forwarder(context, membership, owned.add(new HttpExecutorClient()))
-  const frontDoor = owned.add(new RequestDispatcher(context, configuration, membership, slots, client, new LeastExpectedTimeChooser(), { requestSlots: () => {}, reportFreedSlots: () => {} }, new KeyGate({ begin: async () => ({ kind: 'run', unlogged: false }), end: async () => {} }), forwarder))
-  const server = owned.add(new CallerServer(configuration, frontDoor, {} as JobApi, { registerRoutes: () => {} } as unknown as OperatorApi, { onPeer: async () => undefined }, forwarder, () => true))
+  const requestDispatcher = owned.add(new RequestDispatcher(context, configuration, membership, slots, client, new LeastExpectedTimeChooser(), { requestSlots: () => {}, reportFreedSlots: () => {} }, new KeyGate({ begin: async () => ({ kind: 'run', unlogged: false }), end: async () => {} }), forwarder))
+  const server = owned.add(new CallerServer(configuration, requestDispatcher, {} as JobApi, { registerRoutes: () => {} } as unknown as OperatorApi, { onPeer: async () => undefined }, forwarder, () => true))
   const port = await server.listen('127.0.0.1', 0)
-  return { port, origin: `http://127.0.0.1:${port}`, executors, slots, frontDoor }
+  return { port, origin: `http://127.0.0.1:${port}`, executors, slots, requestDispatcher }
 }
 
 function respond (body: string, extra = ''): (socket: Socket, executor: RawExecutor) => void {
@@ -201,7 +201,7 @@
       const sentAt = performance.now()
       caller.abort()
       await assert.rejects(pending)
-      await until(() => site.frontDoor.activeRequests === 0)
+      await until(() => site.requestDispatcher.activeRequests === 0)
       assert.equal(site.slots.inFlight('e0') + site.slots.inFlight('e1'), 1)
       await until(() => site.slots.inFlight('e0') + site.slots.inFlight('e1') === 0)
       assert.ok(performance.now() - sentAt >= 900)
@@ -265,7 +265,7 @@
       socket.write(`POST /services/booking/x HTTP/1.1\r\nhost: h\r\ncontent-length: ${LARGE_BODY.length}\r\n\r\n${LARGE_BODY.slice(0, 100_000)}`)
       await until(() => received(site).length > 50_000)
       socket.destroy()
-      await until(() => site.frontDoor.activeRequests === 0 && site.executors.every(executor => executor.sockets.size === 0))
+      await until(() => site.requestDispatcher.activeRequests === 0 && site.executors.every(executor => executor.sockets.size === 0))
       assert.doesNotMatch(received(site), /\r\n0\r\n\r\n$/)
     }
   },
@@ -293,8 +293,8 @@
       const socket = connect(site.port, '127.0.0.1')
       socket.on('error', () => {})
       socket.write('GET /services/lookup/x HTTP/1.1\r\nhost: h\r\n\r\n')
-      await until(() => site.frontDoor.activeRequests === 1)
-      await until(() => site.frontDoor.activeRequests === 0)
+      await until(() => site.requestDispatcher.activeRequests === 1)
+      await until(() => site.requestDispatcher.activeRequests === 0)
       // The executor counts the run from the arrival of the request, so that the slot follows a margin later.
       await until(() => site.slots.inFlight('e0') + site.slots.inFlight('e1') === 0)
       socket.destroy()
@@ -342,7 +342,7 @@
     name: 'a refusal of the other failure domain keeps its verdict',
     onData: respond('ok'),
     run: async (own, other) => {
-      other.frontDoor.stopAccepting()
+      other.requestDispatcher.stopAccepting()
       const answer = await fetch(`${own.origin}/services/booking/x`, { method: 'POST', body: 'b' })
       assert.deepEqual((await answer.json() as { error: { code: string, verdict: string } }).error.verdict, 'notRun')
     }
