--- a/src/entry/callerRequest.ts
+++ b/src/entry/callerRequest.ts
@@ -4,7 +4,7 @@
 import type { DispatchableRequest } from '../requests/poolDispatcher.js'
 import type { RequestBody } from './requestBody.js'
 
-/** A caller's request after its head has been checked. Times are monotonic milliseconds. */
+/** A caller's request with a validated head. Times are monotonic milliseconds. */
 export interface CallerRequest {
   readonly identity: string
   readonly service: string
@@ -15,30 +15,30 @@
   readonly urgency: Urgency
   readonly deadline: number
   readonly signal: AbortSignal
-  /** Whether an instance of another failure domain sent it on; it is not forwarded again. */
+  /** Whether an instance of another failure domain forwarded the request; such a request is not forwarded again. */
   readonly isForwarded?: boolean
 }
 
-/** What the caller gets. */
+/** Outcome of serving a request: the response for the caller, or an error. */
 export type ServingResult =
   | { readonly kind: 'answer', readonly status: number, readonly headers: Record<string, string | string[]>, readonly body: Readable }
   | { readonly kind: 'error', readonly error: ServingError }
 
 const IDEMPOTENT_METHODS = new Set(['GET', 'HEAD', 'OPTIONS', 'PUT', 'DELETE'])
 
-/** Whether a request may run twice without harm. */
+/** Whether the service or the HTTP method makes a request idempotent. */
 export function isIdempotent (service: Service, method: string): boolean {
   return service.idempotent || IDEMPOTENT_METHODS.has(method)
 }
 
-/** A request from its acceptance to its one answer. */
+/** An accepted request that is settled with exactly one result. */
 export class PendingRequest implements DispatchableRequest {
   readonly tried = new Set<string>()
-  /** Attempts of which a byte may have reached an executor. */
+  /** Number of attempts of which a byte may have reached an executor. */
   attempts = 0
-  /** Attempts that ended before a byte went out. */
+  /** Number of attempts that failed before a byte was sent. */
   unsentAttempts = 0
-  /** Whether an attempt may have run. */
+  /** Whether an earlier attempt may have run. */
   mayHaveRun = false
   private settled = false
 
@@ -56,7 +56,6 @@
     return this.request.deadline
   }
 
-  /** Whether running it twice does no harm. */
   get isIdempotent (): boolean {
     return isIdempotent(this.service, this.request.method)
   }
@@ -65,7 +64,7 @@
     return this.settled
   }
 
-  /** Gives the request its answer; returns false if it has one, in which case the new one is to be discarded. */
+  /** Resolves the request with `result`. Returns false if it is already settled; the caller then discards `result`. */
   settle (result: ServingResult): boolean {
     if (this.settled) return false
     this.settled = true
@@ -74,14 +73,13 @@
   }
 }
 
-/** An error after an attempt of unknown outcome must not say that the request has not run. */
+/** Replaces the verdict `notRun`, which would be wrong after an attempt of unknown outcome. */
 function replaceNotRun (result: ServingResult): ServingResult {
   if (result.kind === 'answer' || result.error.verdict !== 'notRun') return result
   const { message, retryAfterSeconds } = result.error
   return errorResult({ code: 'outcomeUnknown', verdict: 'mayHaveRun', message: `an earlier attempt may have run; ${message}`, retryAfterSeconds })
 }
 
-/** An error answer. */
 export function errorResult (error: ServingError): ServingResult {
   return { kind: 'error', error }
 }
--- a/src/entry/forwarder.ts
+++ b/src/entry/forwarder.ts
@@ -7,7 +7,7 @@
 import { errorResult, type ServingResult, type PendingRequest } from './callerRequest.js'
 import { monotonicNow, type EntryContext } from './entryContext.js'
 
-/** Connections to one instance of another failure domain. */
+/** Connection limit for each instance of another failure domain. */
 const PEER_CONNECTIONS = 32
 const MAXIMUM_ERROR_CHARACTERS = 16 * 1024
 
@@ -15,9 +15,9 @@
 const TIMED_OUT: ServingError = { code: 'executorTimeout', verdict: 'mayHaveRun', message: 'another failure domain did not answer in time' }
 const OUTCOME_UNKNOWN: ServingError = { code: 'executorFailed', verdict: 'mayHaveRun', message: 'the connection to another failure domain broke' }
 
-/** Sends requests to instances of other failure domains, and checks those that arrive from there. */
+/** Forwards requests to instances of other failure domains, and authenticates requests forwarded from them. */
 export class Forwarder {
-  /** Identities of forwarded requests that have arrived, with the time until which a proof of them is valid. */
+  /** Identities of received forwarded requests, with the time at which their proofs expire; guards against replay. */
   private readonly seenUntil = new Map<string, number>()
 
   constructor (
@@ -26,7 +26,7 @@
     private readonly client: ExecutorClient
   ) {}
 
-  /** An instance of another failure domain that has an executor for the request; a request is forwarded only once. */
+  /** Selects a random live instance in another failure domain that has a live executor for the request. Returns undefined if there is none, or if the request was already forwarded. */
   selectTarget (pending: PendingRequest, text: SiteText): ListedEntry | undefined {
     if (pending.request.isForwarded) return undefined
     const pool = pending.service.executorPool
@@ -36,7 +36,7 @@
     return entries.length === 0 ? undefined : this.context.random.pick(entries)
   }
 
-  /** Sends a request to an instance of another failure domain. The verdict rules are those of an executor. */
+  /** Forwards a request to an instance of another failure domain. The verdict follows the same rules as for an executor. */
   async forward (pending: PendingRequest, peer: ListedEntry): Promise<ServingResult> {
     const { request } = pending
     const path = `/services/${request.service}${request.path}`
@@ -57,7 +57,7 @@
     return await this.relayResponse(pending, result.answer)
   }
 
-  /** Whether a request that claims to be forwarded proves that, and has not arrived before. */
+  /** Returns true if a forwarded request carries a valid proof and its identity has not been received before. */
   acceptOnce (request: { readonly method: string, readonly path: string, readonly identity: string, readonly from: string, readonly proof: string }): boolean {
     const now = Date.now()
     if (!isValidPeerProof(request.proof, this.context.settings.linkKeys, request, now)) return false
@@ -66,12 +66,12 @@
       this.seenUntil.delete(identity)
     }
     if (this.seenUntil.has(request.identity)) return false
-    // A proof may be from a clock that is ahead by the whole tolerance.
+    // The peer's clock may be ahead by the whole tolerance, so that its proof stays valid for twice the time.
     this.seenUntil.set(request.identity, now + 2 * PROOF_VALID_MILLISECONDS)
     return true
   }
 
-  /** An error of the peer stays an error with its verdict; anything else is the executor's answer. */
+  /** Passes on an error of the peer with its verdict; treats any other response as the executor's. */
   private async relayResponse (pending: PendingRequest, response: ExecutorAnswer): Promise<ServingResult> {
     response.body.on('error', () => {})
     this.context.events.clock.observe(Number(response.headers[CALLER_HEADERS.logicalTime] ?? 0))
--- a/src/entry/requestBody.ts
+++ b/src/entry/requestBody.ts
@@ -1,12 +1,12 @@
 import { Readable } from 'node:stream'
 
-/** Largest body that is kept in memory so that it can be sent again; a larger one is streamed and sent once. */
+/** Largest body that is buffered so that it can be sent again on a retry; a larger body is streamed and sent at most once. */
 export const REPLAYABLE_BODY_BYTES = 64 * 1024
 
-/** Raised while a body is streamed when it grows over the limit of the site text. */
+/** Thrown when a streamed body exceeds the limit of the site configuration. */
 export class BodyTooLargeError extends Error {}
 
-/** Body of a caller's request: in memory if it is small, otherwise streamed. */
+/** Body of a caller's request: buffered if it is small, otherwise streamed. */
 export class RequestBody {
   private streamingStarted = false
 
@@ -14,12 +14,12 @@
 
   static readonly EMPTY = new RequestBody(Buffer.alloc(0), undefined, 0)
 
-  /** A body that is in memory. */
+  /** Creates a fully buffered body. */
   static of (bytes: Buffer): RequestBody {
     return new RequestBody(bytes, undefined, bytes.length)
   }
 
-  /** Reads up to `memoryBytes`, and leaves the rest to be streamed; 'tooLarge' if the body is larger than `limitBytes` by then. Rejects if the caller breaks off or `signal` aborts. */
+  /** Buffers up to `bufferLimitBytes` and leaves the remainder to be streamed. Resolves with 'tooLarge' if the part read exceeds `limitBytes`; rejects if the caller disconnects or `signal` aborts. */
   static async read (stream: ReadableStream<Uint8Array>, limitBytes: number, signal: AbortSignal, bufferLimitBytes = REPLAYABLE_BODY_BYTES): Promise<RequestBody | 'tooLarge'> {
     const reader = stream.getReader()
     const cancel = (): void => { reader.cancel().catch(() => {}) }
@@ -46,12 +46,12 @@
     return this.remainder === undefined || !this.streamingStarted
   }
 
-  /** The part that is in memory. */
+  /** The buffered part. */
   get bytes (): Buffer {
     return this.buffered
   }
 
-  /** The body for one attempt; a streamed one is read from the caller at the pace of the executor. */
+  /** Returns the body for one attempt. A streamed body is read from the caller as fast as the executor consumes it. */
   open (): Buffer | Readable | undefined {
     if (this.remainder !== undefined) return Readable.from(this.chunks(this.remainder), { objectMode: false })
     return this.buffered.length === 0 ? undefined : this.buffered
--- a/src/entry/requestDispatcher.ts
+++ b/src/entry/requestDispatcher.ts
@@ -18,22 +18,22 @@
 import type { KeyGate } from './keyGate.js'
 import { RequestSender, type FailedAttempt } from './requestSender.js'
 
-/** How the front door tells the slot task what it needs. */
+/** Requests slots for the dispatcher and reports freed ones. */
 export interface SlotRequester {
-  /** Requests wait; asks the owner for slots. */
+  /** Requests slots from the owner for waiting requests. */
   requestSlots (): void
-  /** Slots may have become free that the owner wants back. */
+  /** Reports slots that may have become free, so that the owner can reclaim them. */
   reportFreedSlots (): void
 }
 
 const EXPIRY_CHECK_INTERVAL_MILLISECONDS = 50
 const MAXIMUM_ATTEMPTS = 3
-/** Attempts that end before a byte goes out cost an executor nothing, so that more of them are made. */
+/** Higher than `MAXIMUM_ATTEMPTS`, because an attempt that fails before a byte is sent costs the executor nothing. */
 const MAXIMUM_UNSENT_ATTEMPTS = 6
 const RETRY_BASE_MILLISECONDS = 10
 const RETRY_MAXIMUM_MILLISECONDS = 200
 
-/** Refusal of an instance that stops. */
+/** Response to new requests while the instance stops. */
 export const STOPPING_ERROR: ServingError = { code: 'stopping', verdict: 'notRun', message: 'the instance is stopping', retryAfterSeconds: 1 }
 
 const REFUSAL_MESSAGES: Readonly<Record<Refusal['code'], string>> = {
@@ -42,7 +42,7 @@
   noExecutor: 'no executor serves this failure domain at the moment'
 }
 
-/** Queues callers' requests and dispatches them to executors within the slots that this instance holds. */
+/** Queues callers' requests and dispatches them to executors, limited by the slots that this instance holds. */
 export class RequestDispatcher extends DisposableObject {
   private readonly pools = new Map<string, PoolDispatcher<PendingRequest>>()
   private readonly executors = new Map<string, Executor>()
@@ -51,7 +51,7 @@
   private activeCount = 0
   private stopping = false
   private readonly willStop = this.register(new Emitter<void>())
-  /** Fires before new requests are refused for good. */
+  /** Fires once, when the dispatcher stops accepting requests. */
   readonly onWillStop: Event<void> = this.willStop.event
 
   constructor (
@@ -79,12 +79,12 @@
     }))
   }
 
-  /** Requests accepted and not yet answered to their end. */
+  /** Number of accepted requests whose response is not complete. */
   get activeRequests (): number {
     return this.activeCount
   }
 
-  /** Requests that wait for a slot. */
+  /** Number of requests that wait for a slot. */
   get waitingRequests (): number {
     let sum = 0
     for (const pool of this.pools.values()) sum += pool.length
@@ -96,19 +96,19 @@
     return [...this.pools.values()].some(pool => pool.urgentWaits)
   }
 
-  /** Whether new requests are refused because the instance stops. */
+  /** Whether the instance is stopping, so that new requests are refused. */
   get isStopping (): boolean {
     return this.stopping
   }
 
-  /** Refuses new requests from now on; requests in flight go on. */
+  /** Refuses new requests from now on; accepted requests are still served. */
   stopAccepting (): void {
     if (this.stopping) return
     this.stopping = true
     this.willStop.fire()
   }
 
-  /** Waiting requests, weighted by urgency, and running ones by executor pool, for the division of slots. */
+  /** Demand by executor pool for the division of slots: waiting requests, weighted by urgency, plus requests in flight. */
   demand (): Record<string, number> {
     const demand: Record<string, number> = {}
     for (const [name, pool] of this.pools) demand[name] = pool.weightedWaiting
@@ -116,7 +116,7 @@
     return demand
   }
 
-  /** Serves a request. Resolves with the head of the answer or an error; does not reject. */
+  /** Serves a request. Resolves with a response, whose body may still be streaming, or with an error; never rejects. */
   async serve (request: CallerRequest): Promise<ServingResult> {
     const text = this.configuration.inForce?.text
     const service = text?.services[request.service]
@@ -132,7 +132,7 @@
     return result
   }
 
-  /** Dispatches what waits as far as slots are free. */
+  /** Expires overdue requests, dispatches waiting ones to free slots and updates the connection limits of the executors. */
   dispatchAll (): void {
     const now = monotonicNow()
     for (const pool of this.pools.values()) {
@@ -163,7 +163,7 @@
     this.dispatch(pool, now)
   }
 
-  /** Forwards a request that no executor of the own failure domain can serve; returns false if there is nowhere to forward it. */
+  /** Forwards a request that no executor of this failure domain can serve. Returns false if no peer is available or the body cannot be sent. */
   private forward (pending: PendingRequest): boolean {
     const text = this.configuration.inForce?.text
     const peer = text === undefined ? undefined : this.forwarder.selectTarget(pending, text)
@@ -236,7 +236,7 @@
   private onExecutorFailed (executor: Executor): void {
     executor.recordFailure()
     const pool = [...this.executors.values()].filter(other => other.pool === executor.pool)
-    if (ejectOutlier(executor, pool, monotonicNow())) this.context.logger.warn('an executor fails and gets no requests for a while', { executor: executor.name })
+    if (ejectOutlier(executor, pool, monotonicNow())) this.context.logger.warn('executor ejected because of its failure rate; it receives no requests for a while', { executor: executor.name })
   }
 
   private recordResult (request: CallerRequest, result: ServingResult): void {
@@ -271,7 +271,7 @@
   }
 }
 
-/** Ends a request that is not sent, or not sent again. */
+/** Settles a request that is not sent, or not retried. */
 function settleWithError (pending: PendingRequest, code: Extract<ServingErrorCode, 'queueFull' | 'deadlineUnreachable' | 'noExecutor' | 'deadlineExpired'>, message: string, retryAfterSeconds: number): void {
   pending.settle(errorResult({ code, verdict: 'notRun', message, retryAfterSeconds }))
 }
--- a/src/entry/requestSender.ts
+++ b/src/entry/requestSender.ts
@@ -9,18 +9,19 @@
 import type { PendingRequest } from './callerRequest.js'
 import { monotonicNow, type EntryContext } from './entryContext.js'
 
-/** An executor counts the run time from the arrival of the request, on its own clock: covers the way there and clock drift. */
+/** Covers network latency and clock drift: an executor measures the run time from the arrival of the request, on its own clock. */
 const RUN_END_MARGIN_MILLISECONDS = 500
 
-/** An attempt that brought no answer. `repeatable` says whether the request may be sent again without running twice. */
+/** An attempt that produced no response for the caller. */
 export interface FailedAttempt {
   readonly error: ServingError
+  /** Whether a retry is safe: the body can be sent again, and the request has not run or is idempotent. */
   readonly retryable: boolean
-  /** Whether bytes reached the executor, so that another attempt counts against the retry budget. */
+  /** Whether bytes may have reached the executor, so that a retry counts against the retry budget. */
   readonly sent: boolean
 }
 
-/** Sends requests to executors, and keeps a slot counted until its request can no longer be running. */
+/** Sends requests to executors, and holds the slot of each request until it can no longer be running. */
 export class RequestSender extends DisposableObject {
   private readonly timers = new Set<NodeJS.Timeout>()
 
@@ -28,7 +29,7 @@
     private readonly context: EntryContext,
     private readonly slots: SlotHolder,
     private readonly client: ExecutorClient,
-    /** Called after a slot has become free. */
+    /** Called after a slot is released. */
     private readonly onSlotReleased: () => void,
     private readonly onExecutorFailed: (executor: Executor) => void
   ) {
@@ -38,7 +39,7 @@
     }))
   }
 
-  /** Makes one attempt on an executor whose slot has been acquired. Settles the request, or returns how the attempt failed. */
+  /** Makes one attempt on an executor whose slot is already acquired. Settles the request, or returns the failed attempt. */
   async send (pending: PendingRequest, executor: Executor): Promise<FailedAttempt | undefined> {
     const { request, service } = pending
     const acquiredAt = monotonicNow()
@@ -74,7 +75,7 @@
 
   private onResponse (pending: PendingRequest, executor: Executor, response: ExecutorAnswer, startedAt: number): FailedAttempt | undefined {
     pending.attempts += 1
-    response.body.on('error', error => this.context.logger.debug('the answer of an executor was cut short', { executor: executor.name, reason: error.message }))
+    response.body.on('error', error => this.context.logger.debug('the response of an executor was cut short', { executor: executor.name, reason: error.message }))
     const refused = response.status === 503 && response.headers[NOT_RUN_HEADER] !== undefined
     this.limitResponseTime(response, startedAt + pending.service.maximumRunMilliseconds)
     response.body.once('close', () => {
@@ -98,9 +99,9 @@
     return undefined
   }
 
-  /** A caller that reads slowly holds a slot and a connection no longer than the request could have run. */
+  /** Aborts the response at `deadline`, so that a slow reader holds a slot and a connection no longer than the request may run. */
   private limitResponseTime (response: ExecutorAnswer, deadline: number): void {
-    const timer = this.startTimer(() => response.body.destroy(new Error('the caller did not read the answer in time')), deadline)
+    const timer = this.startTimer(() => response.body.destroy(new Error('the caller did not read the response in time')), deadline)
     response.body.once('close', () => this.stopTimer(timer))
   }
 
@@ -109,7 +110,7 @@
     this.onSlotReleased()
   }
 
-  /** A request of unknown outcome counts until it cannot be running any more. */
+  /** Holds the slot of a request of unknown outcome until the request can no longer be running. */
   private releaseAfterRun ({ service }: PendingRequest, executor: Executor, startedAt: number): void {
     const at = startedAt + service.maximumRunMilliseconds + RUN_END_MARGIN_MILLISECONDS
     if (at <= monotonicNow()) this.release(executor)
