--- a/src/entry/callerServer.ts
+++ b/src/entry/callerServer.ts
@@ -21,10 +21,10 @@
 
 /** Body limit before a configuration is in force, in bytes. */
 const DEFAULT_BODY_LIMIT_BYTES = 1024 * 1024
-/** Longest time in which the body of a submission may arrive, in milliseconds; node:http gives a request up after the same time. */
+/** Timeout for reading the body of a submission; same as the default request timeout of node:http. */
 const SUBMISSION_BODY_TIMEOUT_MILLISECONDS = 300_000
 
-/** HTTP towards callers and operators. */
+/** HTTP server for callers and operators. */
 export class CallerServer extends DisposableObject {
   private readonly server: HttpServer
 
@@ -41,17 +41,17 @@
     this.server = this.register(new HttpServer(toNodeHandler(this.routes())))
   }
 
-  /** Listens; resolves with the port, rejects if the address is taken. */
+  /** Starts listening. Resolves with the port; rejects if the address is in use. */
   async listen (host: string, port: number): Promise<number> {
     return await this.server.listen(host, port)
   }
 
-  /** Stops listening once the connections that wait to be accepted have been. `deadline` is in monotonic milliseconds. */
+  /** Accepts the connections in the listen backlog, then stops listening. `deadline` is in monotonic milliseconds. */
   async stopListening (deadline: number): Promise<void> {
     await this.server.stopListening(deadline)
   }
 
-  /** Ends each connection after its last answer, until `deadline` in monotonic milliseconds. Resolves with the number of requests cut off. */
+  /** Closes each connection after its last response, until `deadline` in monotonic milliseconds. Resolves with the number of requests cut off. */
   async drain (deadline: number): Promise<number> {
     return await this.server.drain(deadline)
   }
@@ -127,7 +127,7 @@
     return toResponse(result)
   }
 
-  /** Reads up to `memoryBytes` of a body; a caller that sends it slowly is given up at the deadline, or when the instance stops. */
+  /** Buffers up to `bufferLimitBytes` of a body. Aborts the read at the deadline, or when the instance stops. */
   private async readRequestBody (request: Request, deadlineMilliseconds: number, bufferLimitBytes = REPLAYABLE_BODY_BYTES): Promise<RequestBody | ServingError> {
     if (request.body === null) return RequestBody.EMPTY
     const limit = this.bodyLimit()
@@ -182,7 +182,7 @@
   return /^\d{1,9}$/.test(header) ? Number(header) : undefined
 }
 
-/** The more urgent of the service's class and the class a request is made on behalf of. */
+/** Returns the more urgent of the service's urgency class and the class named in the request header. */
 function effectiveUrgency (service: Urgency, header: string | null): Urgency {
   const stated = urgencySchema.safeParse(header)
   if (!stated.success) return service
--- a/src/entry/entryContext.ts
+++ b/src/entry/entryContext.ts
@@ -3,17 +3,17 @@
 import type { EventLog } from '../contracts/eventLog.js'
 import type { EntrySettings } from '../contracts/settings.js'
 
-/** What every task of an entry instance is handed. */
+/** Dependencies shared by the tasks of an entry instance. */
 export interface EntryContext {
   readonly settings: EntrySettings
-  /** Random identity of this process start. */
+  /** Random identity, generated at each start of the process. */
   readonly incarnation: string
   readonly logger: Logger
   readonly events: EventLog
   readonly random: Random
 }
 
-/** Monotonic time of the runtime's clock in milliseconds. */
+/** Time of the monotonic clock in milliseconds. */
 export function monotonicNow (): number {
   return performance.now()
 }
--- a/src/entry/entryInstance.ts
+++ b/src/entry/entryInstance.ts
@@ -12,7 +12,7 @@
 import type { PlacementTask } from './placementTask.js'
 import type { SlotTask } from './slotTask.js'
 
-/** The parts of an entry instance that its life cycle needs. */
+/** Components that the life cycle of an entry instance operates on. */
 export interface EntryComponents {
   readonly followers: readonly LogFollower[]
   readonly links: LinkTransport
@@ -24,11 +24,10 @@
   readonly server: CallerServer
   readonly jobs: JobTask
   readonly placement: PlacementTask
-  /** Everything that is disposed when the instance ends, in order of creation. */
+  /** Everything that is disposed with the instance, in order of creation. */
   readonly disposables: readonly Disposable[]
 }
 
-/** Ports that an entry instance listens on. */
 export interface EntryPorts {
   readonly callers: number
   readonly links: number
@@ -46,7 +45,7 @@
     for (const disposable of components.disposables) this.register(disposable)
   }
 
-  /** Whether the instance can serve: it has a configuration and is not stopping. */
+  /** Whether the instance has a configuration and is not stopping. */
   get isReady (): boolean {
     return this.accepting && this.components.configuration.inForce !== undefined
   }
@@ -56,7 +55,7 @@
     return this.isReady && this.components.slots.holder.holdsSlots(performance.now())
   }
 
-  /** Starts listening and following the log; rejects if an address is taken. */
+  /** Starts listening and following the log. Rejects if an address is in use. */
   async start (): Promise<EntryPorts> {
     const { settings, events, logger } = this.context
     events.record('instanceStarted', { failureDomain: settings.failureDomain })
@@ -73,7 +72,7 @@
     return { callers, links }
   }
 
-  /** Stops gracefully: ends listening, refuses new requests, lets those in flight end, gives up ownership, ends connections, closes links. Returns the number of requests cut off. */
+  /** Shuts down gracefully: stops listening, refuses new requests, waits for requests in flight, releases ownership, drains connections and closes links. Resolves with the number of requests cut off. */
   async stop (): Promise<number> {
     const { settings, events, logger } = this.context
     const deadline = performance.now() + settings.stopBoundMilliseconds
@@ -95,7 +94,7 @@
     const unfinished = this.components.requestDispatcher.activeRequests
     await this.components.ownership.release(RELEASE_TIMEOUT_MILLISECONDS)
     const cutOff = Math.max(unfinished, await drained)
-    if (cutOff > 0) logger.warn('the time bound of the stop has passed; requests are cut off', { count: cutOff })
+    if (cutOff > 0) logger.warn('shutdown deadline exceeded; requests are cut off', { count: cutOff })
     events.record('instanceStopped')
     this.dispose()
     return cutOff
--- a/src/entry/errorResponse.ts
+++ b/src/entry/errorResponse.ts
@@ -1,7 +1,7 @@
 import { httpStatusOf, type ServingError } from '../contracts/verdict.js'
 import { CALLER_HEADERS } from '../requests/headers.js'
 
-/** JSON answer that carries an error. */
+/** Creates the JSON response for an error. */
 export function errorResponse (error: ServingError): Response {
   const headers = new Headers({ 'content-type': 'application/json', [CALLER_HEADERS.verdict]: error.verdict })
   if (error.retryAfterSeconds !== undefined) headers.set('retry-after', String(error.retryAfterSeconds))
--- a/src/entry/metricsRegistry.ts
+++ b/src/entry/metricsRegistry.ts
@@ -4,7 +4,7 @@
 export class MetricsRegistry {
   private readonly registry = new Registry()
 
-  /** Registers a gauge whose value is read when metrics are asked for. */
+  /** Registers a gauge whose value is read at each scrape. */
   addGauge (name: string, help: string, read: () => number): void {
     const gauge: Gauge = new Gauge({ name: `vanillaturn_${name}`, help, registers: [this.registry], collect: (): void => gauge.set(read()) })
   }
--- a/src/entry/operatorApi.ts
+++ b/src/entry/operatorApi.ts
@@ -12,7 +12,7 @@
 import type { PlacementTask } from './placementTask.js'
 import type { RequestHistory } from './requestHistory.js'
 
-/** HTTP for operators' commands; every route needs a token of the settings. */
+/** HTTP API for operators. All routes except `/metrics` require an operator token from the settings. */
 export class OperatorApi {
   constructor (
     private readonly context: EntryContext,
--- a/src/entry/requestHistory.ts
+++ b/src/entry/requestHistory.ts
@@ -2,7 +2,7 @@
 import type { EventLog } from '../contracts/eventLog.js'
 import type { SystemEvent } from '../contracts/events.js'
 
-/** What an entry instance remembers of one request. Durations are milliseconds. */
+/** State and outcome of one request. */
 export interface TrackedRequest {
   readonly identity: string
   readonly service: string
@@ -11,19 +11,19 @@
   readonly arrivedAt: string
   /** Time from acceptance to the first dispatch; undefined while the request waits. */
   waitedMilliseconds: number | undefined
-  /** Executors that the request was sent to, in order. */
+  /** Executors that the request was dispatched to, in order. */
   readonly executors: string[]
   outcome: 'waiting' | 'running' | 'answered' | 'failed'
-  /** HTTP status of an answer, or code and verdict of an error. */
+  /** HTTP status of a response, or code and verdict of an error. */
   code: string | undefined
   reason: string | undefined
   durationMilliseconds: number | undefined
 }
 
-/** Requests that an instance remembers; at 300 bytes each the history stays below 1 MB. */
+/** At 300 bytes for each request the history stays below 1 MB. */
 const DEFAULT_CAPACITY = 2000
 
-/** Ring of the most recent requests of an entry instance, built from its events. */
+/** Bounded history of the most recent requests of an entry instance, built from its events. */
 export class RequestHistory extends DisposableObject {
   private readonly requests = new Map<string, TrackedRequest>()
 
@@ -40,7 +40,7 @@
     return this.requests.get(identity)
   }
 
-  /** One sentence on what became of a request; undefined if it is not remembered. */
+  /** Describes the state or outcome of a request in one sentence; undefined if the request is not in the history. */
   explain (identity: string): string | undefined {
     const request = this.requests.get(identity)
     if (request === undefined) return undefined
