--- a/test/entry/callerServer.test.ts
+++ b/test/entry/callerServer.test.ts
@@ -39,7 +39,7 @@
   return checked.text
 }
 
-/** What one executor received, as raw text, and how it reacts. */
+/** Executor that records the raw text it receives and reacts with `onData`. */
 class RawExecutor {
   received = ''
   readonly sockets = new Set<Socket>()
@@ -79,14 +79,14 @@
   readonly requestDispatcher: RequestDispatcher
 }
 
-/** A front door with real sockets towards callers and two raw executors, and all slots granted to it. */
+/** Starts an instance with real sockets towards callers, two raw executors and all slots granted to it. */
 async function startSite (owned: DisposableStore, onData: (socket: Socket, executor: RawExecutor) => void): Promise<Site> {
   const executors = [new RawExecutor(onData), new RawExecutor(onData)]
   for (const executor of executors) await executor.listen(owned)
   return await startInstance(owned, executors, 'zone', [])
 }
 
-/** One instance of `failureDomain`; the executors belong to failure domain `zone`, and `peers` are other instances. */
+/** Starts one instance of `failureDomain`. The executors belong to failure domain `zone`; `peers` are other instances. */
 async function startInstance (owned: DisposableStore, executors: readonly RawExecutor[], failureDomain: string, peers: ReadonlyArray<{ readonly failureDomain: string, readonly origin: string }>): Promise<Site> {
   const sink = (): void => {}
   const context = {
@@ -126,7 +126,7 @@
   while (!condition()) await new Promise(resolve => setTimeout(resolve, 5))
 }
 
-/** Sends raw bytes and returns everything that came back until the connection closed or `enough` holds. */
+/** Sends raw bytes and returns everything received until the connection closes or `enough` returns true. */
 async function exchangeRaw (port: number, bytes: string, enough: (text: string) => boolean): Promise<string> {
   const socket = connect(port, '127.0.0.1')
   let text = ''
@@ -148,10 +148,10 @@
   readonly run: (site: Site) => Promise<void>
 }
 
-/** Each case guards against an answer that is not the whole own one, a second run, or a request that others can smuggle. */
+/** Each case guards against a truncated or foreign response, a second run of a request, or request smuggling. */
 const CASES: readonly Case[] = [
   {
-    name: 'an answer cut short ends in a broken connection',
+    name: 'a truncated response ends in a broken connection',
     onData: socket => {
       socket.write('HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\npart')
       setTimeout(() => socket.destroy(), 20)
@@ -163,7 +163,7 @@
     }
   },
   {
-    name: 'an answer cut short without a length ends in a broken connection',
+    name: 'a truncated chunked response ends in a broken connection',
     onData: socket => {
       socket.write('HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\npart\r\n')
       setTimeout(() => socket.destroy(), 20)
@@ -174,7 +174,7 @@
     }
   },
   {
-    name: 'a non-idempotent request whose answer is lost is not sent again',
+    name: 'a non-idempotent request whose response is lost is not retried',
     onData: socket => socket.destroy(),
     run: async site => {
       const answer = await fetch(`${site.origin}/services/booking/x`, { method: 'POST', body: 'b' })
@@ -184,7 +184,7 @@
     }
   },
   {
-    name: 'when every executor refuses, requests are sent at most 1.1 times',
+    name: 'when every executor refuses, retries add at most 10% to the requests sent',
     onData: socket => { socket.write('HTTP/1.1 503 Busy\r\nrequest-not-run: 1\r\ncontent-length: 0\r\n\r\n') },
     run: async site => {
       for (let index = 0; index < 40; index += 1) await (await fetch(`${site.origin}/services/lookup/x`)).text()
@@ -192,7 +192,7 @@
     }
   },
   {
-    name: 'a caller that goes away ends the request and its slot counts until the run has certainly ended',
+    name: 'when the caller disconnects, the request ends and its slot stays in use until the run has certainly ended',
     onData: () => {},
     run: async site => {
       const caller = new AbortController()
@@ -237,7 +237,7 @@
     }
   },
   {
-    name: 'a large body is streamed whole',
+    name: 'a large body is streamed completely',
     onData: (socket, executor) => {
       if (executor.received.includes('\r\n0\r\n\r\n') || executor.received.length > LARGE_BODY.length + 1000) respond('ok')(socket, executor)
     },
@@ -248,7 +248,7 @@
     }
   },
   {
-    name: 'a large body is not sent again once it has begun, even by an idempotent request',
+    name: 'a large body is not sent again once streaming has started, even for an idempotent request',
     onData: socket => socket.destroy(),
     run: async site => {
       const answer = await fetch(`${site.origin}/services/lookup/x`, { method: 'PUT', body: LARGE_BODY })
@@ -258,7 +258,7 @@
     }
   },
   {
-    name: 'a request body that its caller cuts short never reaches an executor as complete',
+    name: 'a request body truncated by its caller never reaches an executor as complete',
     onData: () => {},
     run: async site => {
       const socket = connect(site.port, '127.0.0.1')
@@ -270,7 +270,7 @@
     }
   },
   {
-    name: 'a caller that sends its body slowly is given up at its deadline',
+    name: 'a request whose body arrives slowly fails at its deadline',
     onData: respond('ok'),
     run: async site => {
       const text = await exchangeRaw(site.port, 'POST /services/booking/x HTTP/1.1\r\nhost: h\r\nvanillaturn-deadline-milliseconds: 100\r\ncontent-length: 10\r\n\r\nabc', answer => answer.includes('deadlineExpired'))
@@ -279,7 +279,7 @@
     }
   },
   {
-    name: 'a caller that does not read its answer holds slot and connection no longer than a run and its margin',
+    name: 'a caller that does not read its response holds slot and connection no longer than a run and its margin',
     onData: socket => {
       socket.write('HTTP/1.1 200 OK\r\ncontent-length: 100000000\r\n\r\n')
       const chunk = Buffer.alloc(1_000_000)
@@ -295,14 +295,14 @@
       socket.write('GET /services/lookup/x HTTP/1.1\r\nhost: h\r\n\r\n')
       await until(() => site.requestDispatcher.activeRequests === 1)
       await until(() => site.requestDispatcher.activeRequests === 0)
-      // The executor counts the run from the arrival of the request, so that the slot follows a margin later.
+      // The executor measures the run from the arrival of the request, so that the slot is released a margin later.
       await until(() => site.slots.inFlight('e0') + site.slots.inFlight('e1') === 0)
       socket.destroy()
     }
   }
 ]
 
-describe('CallerServer and FrontDoor over sockets', () => {
+describe('CallerServer and RequestDispatcher over sockets', () => {
   for (const { name, onData, run } of CASES) {
     it(name, { timeout: 20_000 }, async () => {
       const owned = new DisposableStore()
@@ -315,10 +315,10 @@
   }
 })
 
-/** Each case guards against a forwarded request that runs twice, loops, or is taken from someone who is no peer. */
+/** Each case guards against a forwarded request that runs twice, loops, or is accepted from a sender that is no peer. */
 const FORWARD_CASES: ReadonlyArray<{ readonly name: string, readonly onData: Case['onData'], readonly run: (own: Site, other: Site) => Promise<void> }> = [
   {
-    name: 'a request is forwarded once, with its identity, when the own failure domain has no executor',
+    name: 'a request is forwarded once, with its identity, when its failure domain has no executor',
     onData: respond('ok'),
     run: async (own, other) => {
       const answer = await fetch(`${own.origin}/services/booking/x?y=1`, { method: 'POST', body: 'b' })
@@ -330,7 +330,7 @@
     }
   },
   {
-    name: 'a lost answer of the other failure domain is no statement that nothing ran',
+    name: 'a lost response of the other failure domain does not get the verdict notRun',
     onData: socket => socket.destroy(),
     run: async (own, other) => {
       const answer = await fetch(`${own.origin}/services/booking/x`, { method: 'POST', body: 'b' })
@@ -348,7 +348,7 @@
     }
   },
   {
-    name: 'a forwarded request is not forwarded again, and not taken twice or without a proof',
+    name: 'a forwarded request is not forwarded again, and not accepted twice or without a valid proof',
     onData: respond('ok'),
     run: async own => {
       const request = { method: 'POST', path: '/services/booking/x', identity: 'r1', from: 'someone' }
--- a/test/entry/entryInstance.test.ts
+++ b/test/entry/entryInstance.test.ts
@@ -11,42 +11,42 @@
 
 const SITE = fileURLToPath(new URL('../../../examples/small/site.jsonc', import.meta.url))
 const OPERATOR_TOKEN = 'planned-stop-operator-token'
-/** Time that a request takes, in milliseconds; it must still run when the stop begins. */
+/** Long enough that a request is still running when the shutdown starts. */
 const SERVICE_MILLISECONDS = 400
 const BACKLOG = 20
 
 const GET = 'GET /services/swatch-lookup/x HTTP/1.1\r\nhost: h\r\n\r\n'
 const POST = 'POST /services/order-confirmation/x HTTP/1.1\r\nhost: h\r\ncontent-length: 4\r\n\r\nbody'
 const SUBMISSION_HEAD = 'POST /jobs HTTP/1.1\r\nhost: h\r\ncontent-type: application/json\r\ncontent-length: 100\r\n\r\n{'
-const HALF_BODY = POST.slice(0, -2)
-const HALF_HEAD = GET.slice(0, 20)
+const INCOMPLETE_BODY = POST.slice(0, -2)
+const INCOMPLETE_HEAD = GET.slice(0, 20)
 
 interface Case {
   readonly name: string
-  /** Written and received before the stop. */
+  /** Written and received before the shutdown. */
   readonly before: string
-  /** Written in the turn in which the stop begins. */
+  /** Written in the event loop turn in which the shutdown starts. */
   readonly atStop: string
-  /** Written once the listening has ended. */
+  /** Written after the server has stopped listening. */
   readonly after: string
-  /** Statuses of the answers after the stop began, in order. */
+  /** Statuses of the responses after the shutdown started, in order. */
   readonly expected: readonly number[]
 }
 
-/** Each case guards against a planned stop that resets a connection with a request on it, or answers without telling when to come back. */
+/** Each case guards against a graceful shutdown that resets a connection with a request on it, or refuses a request without a retry-after header. */
 const CASES: readonly Case[] = [
-  { name: 'a request that runs gets its answer', before: POST, atStop: '', after: '', expected: [200] },
-  { name: 'pipelined requests that run get their answers', before: GET + GET, atStop: '', after: '', expected: [200, 200] },
+  { name: 'a running request gets its response', before: POST, atStop: '', after: '', expected: [200] },
+  { name: 'running pipelined requests get their responses', before: GET + GET, atStop: '', after: '', expected: [200, 200] },
   { name: 'a request on an idle connection is refused', before: '', atStop: '', after: POST, expected: [503] },
-  { name: 'a request that arrives as the stop begins is refused', before: '', atStop: POST, after: '', expected: [503] },
-  { name: 'pipelined requests that arrive as the stop begins are refused', before: '', atStop: POST + GET, after: '', expected: [503, 503] },
-  { name: 'a request whose head arrives in parts is refused', before: HALF_HEAD, atStop: '', after: GET.slice(20), expected: [503] },
-  { name: 'a request whose body never arrives whole is refused at once', before: HALF_BODY, atStop: '', after: '', expected: [503] },
+  { name: 'a request that arrives as the shutdown starts is refused', before: '', atStop: POST, after: '', expected: [503] },
+  { name: 'pipelined requests that arrive as the shutdown starts are refused', before: '', atStop: POST + GET, after: '', expected: [503, 503] },
+  { name: 'a request whose head arrives in parts is refused', before: INCOMPLETE_HEAD, atStop: '', after: GET.slice(20), expected: [503] },
+  { name: 'a request whose body never arrives completely is refused at once', before: INCOMPLETE_BODY, atStop: '', after: '', expected: [503] },
   { name: 'a submission whose body is being read is refused at once', before: SUBMISSION_HEAD, atStop: '', after: '', expected: [503] },
-  { name: 'a submission whose body never arrives whole is refused at once', before: '', atStop: SUBMISSION_HEAD, after: '', expected: [503] }
+  { name: 'a submission whose body never arrives completely is refused at once', before: '', atStop: SUBMISSION_HEAD, after: '', expected: [503] }
 ]
 
-describe('planned stop of an entry instance', () => {
+describe('graceful shutdown of an entry instance', () => {
   let standin: SiteStandin
   let instance: EntryInstance
   const callers = new Map<Case, RawCaller>()
@@ -71,7 +71,7 @@
     await operator.close()
     await untilTrue(() => instance.canServe)
 
-    for (const testCase of CASES) callers.set(testCase, await connectKept(port))
+    for (const testCase of CASES) callers.set(testCase, await connectKeptAlive(port))
     for (const [{ before }, caller] of callers) caller.write(before)
     const running = CASES.flatMap(({ before, expected }) => expected[0] === 200 ? [before] : []).join('').split(' HTTP/1.1').length - 1
     await untilTrue(() => instance.components.requestDispatcher.activeRequests === running)
@@ -91,12 +91,12 @@
 
   for (const testCase of CASES) {
     it(testCase.name, { timeout: 20_000 }, async () => {
-      await isAnsweredAndEnds(callers.get(testCase) as RawCaller, testCase.expected)
+      await assertAnsweredAndClosed(callers.get(testCase) as RawCaller, testCase.expected)
     })
   }
 
   it('requests on connections that have not been accepted are refused', { timeout: 20_000 }, async () => {
-    for (const caller of unaccepted) await isAnsweredAndEnds(caller, [503])
+    for (const caller of unaccepted) await assertAnsweredAndClosed(caller, [503])
   })
 
   it('nothing is cut off', { timeout: 20_000 }, async () => {
@@ -104,8 +104,8 @@
   })
 })
 
-/** A connection that has carried one request. */
-async function connectKept (port: number): Promise<RawCaller> {
+/** Opens a connection that is kept alive after one request. */
+async function connectKeptAlive (port: number): Promise<RawCaller> {
   const caller = new RawCaller(port)
   caller.write('GET /health HTTP/1.1\r\nhost: h\r\n\r\n')
   await untilTrue(() => caller.text.includes('ok\n'))
@@ -113,7 +113,7 @@
   return caller
 }
 
-async function isAnsweredAndEnds (caller: RawCaller, statuses: readonly number[]): Promise<void> {
+async function assertAnsweredAndClosed (caller: RawCaller, statuses: readonly number[]): Promise<void> {
   await untilTrue(() => caller.ended !== 'no')
   assert.deepEqual({ statuses: caller.statuses, closings: caller.closings, ended: caller.ended }, { statuses, closings: 1, ended: 'orderly' })
   const refusals = statuses.filter(status => status === 503).length
--- a/test/entry/requestDispatcher.test.ts
+++ b/test/entry/requestDispatcher.test.ts
@@ -3,7 +3,7 @@
 import { prove } from '../fuzz/fuzzer.js'
 import { assertChecks } from '../fuzz/oracle.js'
 
-/** Each trace violated an invariant once. */
+/** Each trace reproduces a past violation of an invariant. */
 const TRACES: ReadonlyArray<{ readonly name: string, readonly act: (site: FakeSite) => Promise<void> }> = [
   {
     name: 'does not say notRun when the deadline passes in the queue after an attempt of unknown outcome',
@@ -25,6 +25,6 @@
   }
 ]
 
-describe('FrontDoor', () => {
+describe('RequestDispatcher', () => {
   for (const { name, act } of TRACES) it(name, async () => { await prove({ seed: 0 }, act) })
 })
--- a/test/entry/requestHistory.test.ts
+++ b/test/entry/requestHistory.test.ts
@@ -7,7 +7,7 @@
 
 type Step = readonly [kind: EventKind, fields?: EventFields]
 
-/** Each case guards against an explanation that does not say where a request is or why it ended. */
+/** Each case guards against an explanation without the state of a request or the reason for its end. */
 const CASES: ReadonlyArray<{ readonly name: string, readonly steps: readonly Step[], readonly expected: RegExp }> = [
   { name: 'waits', steps: [], expected: /^request to order \(urgent\), accepted .*: it waits for a slot of an executor$/ },
   { name: 'runs', steps: [['requestDispatched', { executor: 'e1' }]], expected: /sent to e1 after waiting \d+ ms: it runs and has not been answered$/ },
