--- a/src/entry/requestDispatcher.ts
+++ b/src/entry/requestDispatcher.ts
@@ -132,7 +132,7 @@
     return result
   }
 
-  /** Expires overdue requests, dispatches waiting ones to free slots and updates the connection limits of the executors. */
+  /** Settles expired requests, dispatches waiting ones to free slots and updates the connection limits of the executors. */
   dispatchAll (): void {
     const now = monotonicNow()
     for (const pool of this.pools.values()) {
