--- a/src/entry/requestHistory.ts
+++ b/src/entry/requestHistory.ts
@@ -2,8 +2,8 @@
 import type { EventLog } from '../contracts/eventLog.js'
 import type { SystemEvent } from '../contracts/events.js'
 
-/** What an entry instance remembers of one request. Durations are milliseconds. */
-export interface RememberedRequest {
+/** State and outcome of one request. */
+export interface TrackedRequest {
   readonly identity: string
   readonly service: string
   readonly urgency: string
@@ -11,23 +11,23 @@
   readonly arrivedAt: string
   /** Time from acceptance to the first dispatch; undefined while the request waits. */
   waitedMilliseconds: number | undefined
-  /** Executors that the request was sent to, in order. */
+  /** Executors that the request was dispatched to, in order. */
   readonly executors: string[]
   outcome: 'waiting' | 'running' | 'answered' | 'failed'
-  /** HTTP status of an answer, or code and verdict of an error. */
+  /** HTTP status of a response, or code and verdict of an error. */
   code: string | undefined
   reason: string | undefined
   durationMilliseconds: number | undefined
 }
 
-/** Requests that an instance remembers; at 300 bytes each the history stays below 1 MB. */
-const REMEMBERED_REQUESTS = 2000
+/** At 300 bytes for each request the history stays below 1 MB. */
+const DEFAULT_CAPACITY = 2000
 
-/** Ring of the most recent requests of an entry instance, built from its events. */
+/** Bounded history of the most recent requests of an entry instance, built from its events. */
 export class RequestHistory extends DisposableObject {
-  private readonly requests = new Map<string, RememberedRequest>()
+  private readonly requests = new Map<string, TrackedRequest>()
 
-  constructor (events: EventLog, private readonly capacity = REMEMBERED_REQUESTS) {
+  constructor (events: EventLog, private readonly capacity = DEFAULT_CAPACITY) {
     super()
     this.register(events.onDidRecord(event => this.observe(event)))
   }
@@ -36,11 +36,11 @@
     return this.requests.size
   }
 
-  find (identity: string): RememberedRequest | undefined {
+  find (identity: string): TrackedRequest | undefined {
     return this.requests.get(identity)
   }
 
-  /** One sentence on what became of a request; undefined if it is not remembered. */
+  /** Describes the state or outcome of a request in one sentence; undefined if the request is not in the history. */
   explain (identity: string): string | undefined {
     const request = this.requests.get(identity)
     if (request === undefined) return undefined
@@ -52,14 +52,14 @@
   private observe (event: SystemEvent): void {
     if (event.request === undefined) return
     if (event.kind === 'requestAccepted') {
-      this.remember(event)
+      this.add(event)
       return
     }
     const request = this.requests.get(event.request)
     if (request !== undefined) update(request, event)
   }
 
-  private remember (event: SystemEvent): void {
+  private add (event: SystemEvent): void {
     const identity = event.request as string
     this.requests.set(identity, { identity, service: event.service ?? '', urgency: event.urgency ?? '', arrivedAt: event.time, waitedMilliseconds: undefined, executors: [], outcome: 'waiting', code: undefined, reason: undefined, durationMilliseconds: undefined })
     if (this.requests.size <= this.capacity) return
@@ -68,7 +68,7 @@
   }
 }
 
-function update (request: RememberedRequest, event: SystemEvent): void {
+function update (request: TrackedRequest, event: SystemEvent): void {
   const elapsed = Date.parse(event.time) - Date.parse(request.arrivedAt)
   switch (event.kind) {
     case 'requestDispatched':
@@ -89,7 +89,7 @@
   }
 }
 
-function describeOutcome (request: RememberedRequest): string {
+function describeOutcome (request: TrackedRequest): string {
   switch (request.outcome) {
     case 'waiting':
       return request.executors.length === 0 ? 'it waits for a slot of an executor' : 'it waits to be sent again'
--- a/src/entry/requestSender.ts
+++ b/src/entry/requestSender.ts
@@ -9,18 +9,19 @@
 import type { PendingRequest } from './callerRequest.js'
 import { monotonicNow, type EntryContext } from './entryContext.js'
 
-/** An executor counts the run time from the arrival of the request, on its own clock: covers the way there and clock drift. */
+/** Covers network latency and clock drift: an executor measures the run time from the arrival of the request, on its own clock. */
 const RUN_END_MARGIN_MILLISECONDS = 500
 
-/** An attempt that brought no answer. `repeatable` says whether the request may be sent again without running twice. */
+/** An attempt that produced no response for the caller. */
 export interface FailedAttempt {
   readonly error: ServingError
-  readonly repeatable: boolean
-  /** Whether bytes reached the executor, so that another attempt counts against the retry budget. */
+  /** Whether a retry is safe: the body can be sent again, and the request has not run or is idempotent. */
+  readonly retryable: boolean
+  /** Whether bytes may have reached the executor, so that a retry counts against the retry budget. */
   readonly sent: boolean
 }
 
-/** Sends requests to executors, and keeps a slot counted until its request can no longer be running. */
+/** Sends requests to executors, and holds the slot of each request until it can no longer be running. */
 export class RequestSender extends DisposableObject {
   private readonly timers = new Set<NodeJS.Timeout>()
 
@@ -28,7 +29,7 @@
     private readonly context: EntryContext,
     private readonly slots: SlotHolder,
     private readonly client: ExecutorClient,
-    /** Called after a slot has become free. */
+    /** Called after a slot is released. */
     private readonly onSlotReleased: () => void,
     private readonly onExecutorFailed: (executor: Executor) => void
   ) {
@@ -38,7 +39,7 @@
     }))
   }
 
-  /** Makes one attempt on an executor whose slot has been acquired. Settles the request, or returns how the attempt failed. */
+  /** Makes one attempt on an executor whose slot is already acquired. Settles the request, or returns the failed attempt. */
   async send (pending: PendingRequest, executor: Executor): Promise<FailedAttempt | undefined> {
     const { request, service } = pending
     const acquiredAt = monotonicNow()
@@ -50,8 +51,8 @@
     pending.tried.add(executor.name)
     this.context.events.record('requestDispatched', { request: request.identity, executor: executor.name })
     const timeout = Math.max(1, Math.min(service.maximumRunMilliseconds, request.deadline - acquiredAt))
-    const result = await this.client.send(executor.address, this.outgoing(pending), timeout, this.slots.connections(executor.name, acquiredAt), request.signal, mayStart)
-    if (result.kind === 'answer') return this.onAnswer(pending, executor, result.answer, startedAt)
+    const result = await this.client.send(executor.address, this.createOutgoingRequest(pending), timeout, this.slots.connections(executor.name, acquiredAt), request.signal, mayStart)
+    if (result.kind === 'answer') return this.onResponse(pending, executor, result.answer, startedAt)
     return this.onFailure(pending, executor, result, startedAt)
   }
 
@@ -61,7 +62,7 @@
       if (failure.unreachable === true) this.onExecutorFailed(executor)
       pending.unsentAttempts += 1
       this.release(executor)
-      return { error: { code: 'noExecutor', verdict: 'notRun', message: 'no executor could be reached', retryAfterSeconds: 1 }, repeatable: canBeSent, sent: false }
+      return { error: { code: 'noExecutor', verdict: 'notRun', message: 'no executor could be reached', retryAfterSeconds: 1 }, retryable: canBeSent, sent: false }
     }
     pending.attempts += 1
     if (!pending.request.signal.aborted) this.onExecutorFailed(executor)
@@ -69,39 +70,39 @@
     const error: ServingError = failure.timedOut
       ? { code: 'executorTimeout', verdict: 'mayHaveRun', message: 'the executor did not answer in time' }
       : { code: 'executorFailed', verdict: 'mayHaveRun', message: 'the connection to the executor broke' }
-    return { error, repeatable: pending.isIdempotent && canBeSent, sent: true }
+    return { error, retryable: pending.isIdempotent && canBeSent, sent: true }
   }
 
-  private onAnswer (pending: PendingRequest, executor: Executor, answer: ExecutorAnswer, startedAt: number): FailedAttempt | undefined {
+  private onResponse (pending: PendingRequest, executor: Executor, response: ExecutorAnswer, startedAt: number): FailedAttempt | undefined {
     pending.attempts += 1
-    answer.body.on('error', error => this.context.logger.debug('the answer of an executor was cut short', { executor: executor.name, reason: error.message }))
-    const refused = answer.status === 503 && answer.headers[NOT_RUN_HEADER] !== undefined
-    this.boundAnswer(answer, startedAt + pending.service.maximumRunMilliseconds)
-    answer.body.once('close', () => {
-      if (!answer.body.readableEnded) {
+    response.body.on('error', error => this.context.logger.debug('the response of an executor was cut short', { executor: executor.name, reason: error.message }))
+    const refused = response.status === 503 && response.headers[NOT_RUN_HEADER] !== undefined
+    this.limitResponseTime(response, startedAt + pending.service.maximumRunMilliseconds)
+    response.body.once('close', () => {
+      if (!response.body.readableEnded) {
         if (refused) this.release(executor)
         else this.releaseAfterRun(pending, executor, startedAt)
         return
       }
-      if (answer.status < 500) executor.recordSuccess(monotonicNow() - startedAt)
+      if (response.status < 500) executor.recordSuccess(monotonicNow() - startedAt)
       this.release(executor)
     })
-    if (answer.status >= 500) this.onExecutorFailed(executor)
+    if (response.status >= 500) this.onExecutorFailed(executor)
     if (refused) {
-      answer.body.resume()
-      return { error: { code: 'executorRefused', verdict: 'notRun', message: 'the executors refuse requests', retryAfterSeconds: 1 }, repeatable: pending.request.body.canBeSent, sent: true }
+      response.body.resume()
+      return { error: { code: 'executorRefused', verdict: 'notRun', message: 'the executors refuse requests', retryAfterSeconds: 1 }, retryable: pending.request.body.canBeSent, sent: true }
     }
-    const headers = endToEndHeaders(Object.entries(answer.headers), [CALLER_HEADERS.verdict])
+    const headers = endToEndHeaders(Object.entries(response.headers), [CALLER_HEADERS.verdict])
     headers[CALLER_HEADERS.request] = pending.identity
-    this.context.events.clock.observe(Number(answer.headers[CALLER_HEADERS.logicalTime] ?? 0))
-    if (!pending.settle({ kind: 'answer', status: answer.status, headers, body: answer.body })) answer.body.destroy()
+    this.context.events.clock.observe(Number(response.headers[CALLER_HEADERS.logicalTime] ?? 0))
+    if (!pending.settle({ kind: 'answer', status: response.status, headers, body: response.body })) response.body.destroy()
     return undefined
   }
 
-  /** A caller that reads slowly holds a slot and a connection no longer than the request could have run. */
-  private boundAnswer (answer: ExecutorAnswer, until: number): void {
-    const timer = this.startTimer(() => answer.body.destroy(new Error('the caller did not read the answer in time')), until)
-    answer.body.once('close', () => this.stopTimer(timer))
+  /** Aborts the response at `deadline`, so that a slow reader holds a slot and a connection no longer than the request may run. */
+  private limitResponseTime (response: ExecutorAnswer, deadline: number): void {
+    const timer = this.startTimer(() => response.body.destroy(new Error('the caller did not read the response in time')), deadline)
+    response.body.once('close', () => this.stopTimer(timer))
   }
 
   private release (executor: Executor): void {
@@ -109,7 +110,7 @@
     this.onSlotReleased()
   }
 
-  /** A request of unknown outcome counts until it cannot be running any more. */
+  /** Holds the slot of a request of unknown outcome until the request can no longer be running. */
   private releaseAfterRun ({ service }: PendingRequest, executor: Executor, startedAt: number): void {
     const at = startedAt + service.maximumRunMilliseconds + RUN_END_MARGIN_MILLISECONDS
     if (at <= monotonicNow()) this.release(executor)
@@ -130,7 +131,7 @@
     this.timers.delete(timer)
   }
 
-  private outgoing ({ request }: PendingRequest): OutgoingRequest {
+  private createOutgoingRequest ({ request }: PendingRequest): OutgoingRequest {
     const headers = endToEndHeaders(request.headers, ['host', 'content-length', 'expect', PEER_PROOF_HEADER, CALLER_HEADERS.forwardedFrom])
     headers[CALLER_HEADERS.request] = request.identity
     headers[CALLER_HEADERS.urgency] = request.urgency
--- a/src/programs/wiring.ts
+++ b/src/programs/wiring.ts
@@ -14,7 +14,7 @@
 import type { EntryContext } from '../entry/entryContext.js'
 import { EntryInstance } from '../entry/entryInstance.js'
 import { Forwarder } from '../entry/forwarder.js'
-import { FrontDoor } from '../entry/frontDoor.js'
+import { RequestDispatcher } from '../entry/requestDispatcher.js'
 import { JobApi } from '../entry/jobApi.js'
 import { JobTask } from '../entry/jobTask.js'
 import { KeyGate } from '../entry/keyGate.js'
@@ -109,11 +109,11 @@
   const configuration = own(new ConfigurationTask(context, configurationFollower, links))
   const ownershipAppender = own(createAppender(domainStream('ownership', settings.failureDomain)))
   const ownership = own(new OwnershipTask(context, ownershipFollower, ownershipAppender, links, membership.membership))
-  const slots = own(new SlotTask(context, ownership, configuration, membership.membership, links, () => frontDoor.demand(), () => frontDoor.urgentWaits))
+  const slots = own(new SlotTask(context, ownership, configuration, membership.membership, links, () => frontDoor.demand(), () => frontDoor.hasUrgentWaiting))
   const keys = own(new KeyTask(context, configuration, membership.membership, ownership, keyFollower, createAppender, agent, text => hashing.h64(text)))
   const forwarder = new Forwarder(context, membership.membership, own(connections.peers))
   const executorClient = own(connections.executors)
-  const frontDoor: FrontDoor = own(new FrontDoor(context, configuration, membership.membership, slots.holder, executorClient, new LeastExpectedTimeChooser(), slots, new KeyGate(keys), forwarder))
+  const frontDoor: RequestDispatcher = own(new RequestDispatcher(context, configuration, membership.membership, slots.holder, executorClient, new LeastExpectedTimeChooser(), slots, new KeyGate(keys), forwarder))
   own(slots.onDidChangeGrants(() => frontDoor.dispatchAll()))
   const jobs = own(new JobTask(context, configuration, jobFollower, createAppender))
   own(new RetentionTask(context, ownership, configuration, jobs, configurationFollower, jobFollower, createAppender))
@@ -121,7 +121,7 @@
 
   const followers = [configurationFollower, ownershipFollower, jobFollower, keyFollower]
   const metrics = new MetricsRegistry()
-  metrics.addGauge('active_requests', 'Requests accepted and not yet answered to their end', () => frontDoor.active)
+  metrics.addGauge('active_requests', 'Requests accepted and not yet answered to their end', () => frontDoor.activeRequests)
   metrics.addGauge('open_jobs', 'Jobs of the failure domain that have not ended', () => jobs.book.open().length)
   metrics.addGauge('configuration_revision', 'Revision of the site text in force', () => configuration.inForce?.revision ?? 0)
   metrics.addGauge('link_bytes', 'Bytes sent and received on links', () => links.bytesExchanged)
@@ -132,7 +132,7 @@
   const operators = new OperatorApi(context, configuration, ownership, placement, jobs, frontDoor, membership.membership, links, metrics, requests, () => followers.reduce((sum, follower) => sum + follower.newerRecords, 0), () => instance.isReady)
   const jobApi = new JobApi(context, jobs, placement, membership.membership, agent)
   const server = own(new CallerServer(configuration, frontDoor, jobApi, operators, keys, forwarder, () => instance.isReady))
-  const instance: EntryInstance = new EntryInstance(context, { followers, links, membership, configuration, ownership, slots, frontDoor, server, jobs, placement, disposables: owned })
+  const instance: EntryInstance = new EntryInstance(context, { followers, links, membership, configuration, ownership, slots, requestDispatcher: frontDoor, server, jobs, placement, disposables: owned })
   return instance
 }
 
