--- a/src/scheduling/explain.ts
+++ b/src/scheduling/explain.ts
@@ -1,6 +1,6 @@
 import { fitsWithin, subtractResources, type Resources } from '../contracts/resources.js'
 import { tasksThatFit } from './capacity.js'
-import type { Claims } from './claims.js'
+import type { Claims } from './capacityReservations.js'
 import type { GangReservation } from './gangReservation.js'
 import { isExemptFromHeat, type HeatLimit } from './heat.js'
 import type { JobEntry } from './jobState.js'
--- a/src/scheduling/gangReservation.ts
+++ b/src/scheduling/gangReservation.ts
@@ -1,6 +1,6 @@
 import { fitsWithin, multiplyResources, NO_RESOURCES, addResources, subtractResources, type Resources } from '../contracts/resources.js'
 import { tasksThatFit } from './capacity.js'
-import { isBackfill, type Claims } from './claims.js'
+import { isBackfill, type Claims } from './capacityReservations.js'
 import type { JobEntry, TaskEntry } from './jobState.js'
 import type { WorkerEntry } from './workerEntry.js'
 
--- a/src/scheduling/preemption.ts
+++ b/src/scheduling/preemption.ts
@@ -1,5 +1,5 @@
 import { addResources, fitsWithin, NO_RESOURCES, subtractResources, type Resources } from '../contracts/resources.js'
-import type { Claims } from './claims.js'
+import type { Claims } from './capacityReservations.js'
 import type { JobEntry, TaskEntry } from './jobState.js'
 import type { WorkerEntry } from './workerEntry.js'
 
--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -3,7 +3,7 @@
 import type { Job, JobOutcome, JobState } from '../contracts/jobs.js'
 import type { Attempt, WorkerReport } from '../contracts/workerProtocol.js'
 import type { Hold, WorkerDescription } from '../machines/worker.js'
-import { Claims } from './claims.js'
+import { Claims } from './capacityReservations.js'
 import type { RenewalPlan, SchedulingDecision } from './decisions.js'
 import { explainJob } from './explain.js'
 import { GangReservation } from './gangReservation.js'
--- a/src/scheduling/urgentRoom.ts
+++ b/src/scheduling/urgentRoom.ts
@@ -1,4 +1,4 @@
-import type { Claims } from './claims.js'
+import type { Claims } from './capacityReservations.js'
 import type { JobEntry } from './jobState.js'
 import type { PreemptionPlan, PreemptionPlanner } from './preemption.js'
 import type { WorkerEntry } from './workerEntry.js'
