--- a/src/scheduling/explain.ts
+++ b/src/scheduling/explain.ts
@@ -2,7 +2,7 @@
 import { tasksThatFit } from './capacity.js'
 import type { Claims } from './capacityReservations.js'
 import type { GangReservation } from './gangReservation.js'
-import { isExemptFromHeat, type HeatLimit } from './heat.js'
+import { isExemptFromHeat, type HeatLimit } from './thermalLimit.js'
 import type { JobEntry } from './jobState.js'
 import type { TaskLedger } from './taskLedger.js'
 import type { TeamShares } from './teamShares.js'
