--- a/src/scheduling/explain.ts
+++ b/src/scheduling/explain.ts
@@ -1,7 +1,7 @@
 import { fitsWithin, subtractResources, type Resources } from '../contracts/resources.js'
 import { tasksThatFit } from './capacity.js'
 import type { Claims } from './capacityReservations.js'
-import type { GangReservation } from './gangReservation.js'
+import type { GangReservation } from './gangReservationPlanner.js'
 import { isExemptFromHeat, type HeatLimit } from './thermalLimit.js'
 import type { JobEntry } from './jobState.js'
 import type { TaskLedger } from './taskLedger.js'
