--- a/src/scheduling/urgentReservationPlanner.ts
+++ b/src/scheduling/urgentReservationPlanner.ts
@@ -1,6 +1,6 @@
 import type { Claims } from './capacityReservations.js'
 import type { JobEntry } from './jobState.js'
-import type { PreemptionPlan, PreemptionPlanner } from './preemption.js'
+import type { PreemptionPlan, PreemptionPlanner } from './preemptionPlanner.js'
 import type { WorkerEntry } from './workerEntry.js'
 
 /** Places that are made by preemption in one decision at most. */
