--- a/src/entry/jobApi.ts
+++ b/src/entry/jobApi.ts
@@ -1,7 +1,7 @@
 import { request, type Agent } from 'undici'
 import type { JobState, JobSubmission } from '../contracts/jobs.js'
 import type { Membership } from '../machines/membership.js'
-import type { BookedJob } from '../scheduling/jobBook.js'
+import type { BookedJob } from '../scheduling/jobRegistry.js'
 import { CALLER_HEADERS } from '../requests/headers.js'
 import { errorResponse } from './errorResponse.js'
 import type { EntryContext } from './entryContext.js'
