--- a/src/scheduling/capacityReservations.ts
+++ b/src/scheduling/capacityReservations.ts
@@ -13,7 +13,7 @@
 }
 
 /** Room that is kept for waiting jobs while it becomes free. Other jobs get only what is beyond it. */
-export class Claims {
+export class CapacityReservations {
   private readonly byWorker = new Map<WorkerEntry, Claim[]>()
   private readonly byJob = new Map<JobEntry, Claim[]>()
 
--- a/src/scheduling/explain.ts
+++ b/src/scheduling/explain.ts
@@ -1,6 +1,6 @@
 import { fitsWithin, subtractResources, type Resources } from '../contracts/resources.js'
 import { tasksThatFit } from './capacity.js'
-import type { Claims } from './capacityReservations.js'
+import type { CapacityReservations } from './capacityReservations.js'
 import type { GangReservation } from './gangReservationPlanner.js'
 import { isExemptFromHeat, type HeatLimit } from './thermalLimit.js'
 import type { JobEntry } from './jobState.js'
@@ -12,7 +12,7 @@
 /** What an explanation is drawn from. */
 export interface ExplainSources {
   readonly ledger: TaskLedger
-  readonly claims: Claims
+  readonly claims: CapacityReservations
   readonly health: WorkerHealth
   readonly heat: HeatLimit
   readonly teams: TeamShares
--- a/src/scheduling/gangReservationPlanner.ts
+++ b/src/scheduling/gangReservationPlanner.ts
@@ -1,6 +1,6 @@
 import { fitsWithin, multiplyResources, NO_RESOURCES, addResources, subtractResources, type Resources } from '../contracts/resources.js'
 import { tasksThatFit } from './capacity.js'
-import { isBackfill, type Claims } from './capacityReservations.js'
+import { isBackfill, type CapacityReservations } from './capacityReservations.js'
 import type { JobEntry, TaskEntry } from './jobState.js'
 import type { WorkerEntry } from './workerEntry.js'
 
@@ -17,7 +17,7 @@
   private readonly waiting = new Set<JobEntry>()
   private reserved: JobEntry | undefined
 
-  constructor (private readonly claims: Claims, private readonly findTask: (task: string) => TaskEntry | undefined) {}
+  constructor (private readonly claims: CapacityReservations, private readonly findTask: (task: string) => TaskEntry | undefined) {}
 
   /** Notes that a gang did not fit. */
   add (job: JobEntry): void {
--- a/src/scheduling/preemptionPlanner.ts
+++ b/src/scheduling/preemptionPlanner.ts
@@ -1,5 +1,5 @@
 import { addResources, fitsWithin, NO_RESOURCES, subtractResources, type Resources } from '../contracts/resources.js'
-import type { Claims } from './capacityReservations.js'
+import type { CapacityReservations } from './capacityReservations.js'
 import type { JobEntry, TaskEntry } from './jobState.js'
 import type { WorkerEntry } from './workerEntry.js'
 
@@ -22,7 +22,7 @@
 export class PreemptionPlanner {
   private position = 0
 
-  constructor (private readonly claims: Claims, private readonly findTask: (task: string) => TaskEntry | undefined) {}
+  constructor (private readonly claims: CapacityReservations, private readonly findTask: (task: string) => TaskEntry | undefined) {}
 
   /** @param taken Tasks that are to be preempted already; what they hold counts as free. */
   plan (job: JobEntry, workers: readonly WorkerEntry[], taken: ReadonlySet<string>, now: number): PreemptionPlan | undefined {
--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -3,7 +3,7 @@
 import type { Job, JobOutcome, JobState } from '../contracts/jobs.js'
 import type { Attempt, WorkerReport } from '../contracts/workerProtocol.js'
 import type { Hold, WorkerDescription } from '../machines/worker.js'
-import { Claims } from './capacityReservations.js'
+import { CapacityReservations } from './capacityReservations.js'
 import type { RenewalPlan, SchedulingDecision } from './decisions.js'
 import { explainJob } from './explain.js'
 import { GangReservation } from './gangReservationPlanner.js'
@@ -50,7 +50,7 @@
   private readonly heat = new HeatLimit(task => this.ledger.findTask(task))
   /** Processors that batch work and gangs may start in this decision, in thousandths. */
   private heatRoom = Infinity
-  private readonly claims = new Claims(entry => this.queue.noteGrowth(entry))
+  private readonly claims = new CapacityReservations(entry => this.queue.noteGrowth(entry))
   private readonly urgentRoom = new UrgentRoom(this.claims, new PreemptionPlanner(this.claims, task => this.ledger.findTask(task)))
   private readonly gangs = new GangReservation(this.claims, task => this.ledger.findTask(task))
   /** Waiting deferrable jobs, by the time at which they count as normal. */
--- a/src/scheduling/urgentReservationPlanner.ts
+++ b/src/scheduling/urgentReservationPlanner.ts
@@ -1,4 +1,4 @@
-import type { Claims } from './capacityReservations.js'
+import type { CapacityReservations } from './capacityReservations.js'
 import type { JobEntry } from './jobState.js'
 import type { PreemptionPlan, PreemptionPlanner } from './preemptionPlanner.js'
 import type { WorkerEntry } from './workerEntry.js'
@@ -12,7 +12,7 @@
 export class UrgentRoom {
   private readonly waiting = new Set<JobEntry>()
 
-  constructor (private readonly claims: Claims, private readonly planner: PreemptionPlanner) {}
+  constructor (private readonly claims: CapacityReservations, private readonly planner: PreemptionPlanner) {}
 
   /** Notes that an urgent job did not fit. */
   add (job: JobEntry): void {
