--- a/src/scheduling/capacityReservations.ts
+++ b/src/scheduling/capacityReservations.ts
@@ -3,7 +3,7 @@
 import type { WorkerEntry } from './workerEntry.js'
 
 /** Room on a worker that is kept for a waiting job. */
-export interface Claim {
+export interface CapacityReservation {
   readonly entry: WorkerEntry
   readonly job: JobEntry
   readonly resources: Resources
@@ -14,8 +14,8 @@
 
 /** Room that is kept for waiting jobs while it becomes free. Other jobs get only what is beyond it. */
 export class CapacityReservations {
-  private readonly byWorker = new Map<WorkerEntry, Claim[]>()
-  private readonly byJob = new Map<JobEntry, Claim[]>()
+  private readonly byWorker = new Map<WorkerEntry, CapacityReservation[]>()
+  private readonly byJob = new Map<JobEntry, CapacityReservation[]>()
 
   /** @param onReleased Called when a worker has more room for other jobs again. */
   constructor (private readonly onReleased: (entry: WorkerEntry) => void) {}
@@ -24,15 +24,15 @@
     return this.byJob.size
   }
 
-  of (job: JobEntry): readonly Claim[] {
+  of (job: JobEntry): readonly CapacityReservation[] {
     return this.byJob.get(job) ?? []
   }
 
-  on (entry: WorkerEntry): readonly Claim[] {
+  on (entry: WorkerEntry): readonly CapacityReservation[] {
     return this.byWorker.get(entry) ?? []
   }
 
-  add (claim: Claim): void {
+  add (claim: CapacityReservation): void {
     append(this.byWorker, claim.entry, claim)
     append(this.byJob, claim.job, claim)
   }
@@ -70,7 +70,7 @@
     }
   }
 
-  private dropWhere (job: JobEntry, matches: (claim: Claim) => boolean): void {
+  private dropWhere (job: JobEntry, matches: (claim: CapacityReservation) => boolean): void {
     const kept = this.of(job).filter(claim => !matches(claim))
     if (kept.length === this.of(job).length) return
     this.drop(job)
@@ -83,7 +83,7 @@
   return job.job.urgency === 'deferrable' && job.job.checkpointable && job.job.kind === 'batch'
 }
 
-function append<Key> (map: Map<Key, Claim[]>, key: Key, claim: Claim): void {
+function append<Key> (map: Map<Key, CapacityReservation[]>, key: Key, claim: CapacityReservation): void {
   const claims = map.get(key)
   if (claims === undefined) map.set(key, [claim])
   else claims.push(claim)
