--- a/src/scheduling/capacityReservations.ts
+++ b/src/scheduling/capacityReservations.ts
@@ -24,7 +24,7 @@
     return this.byJob.size
   }
 
-  of (job: JobEntry): readonly CapacityReservation[] {
+  forJob (job: JobEntry): readonly CapacityReservation[] {
     return this.byJob.get(job) ?? []
   }
 
@@ -47,7 +47,7 @@
 
   /** Drops all claims of a job. */
   drop (job: JobEntry): void {
-    for (const claim of this.of(job)) {
+    for (const claim of this.forJob(job)) {
       const rest = this.on(claim.entry).filter(other => other !== claim)
       if (rest.length === 0) this.byWorker.delete(claim.entry)
       else this.byWorker.set(claim.entry, rest)
@@ -58,7 +58,7 @@
 
   /** Drops one claim of a job on a worker, whose room it has taken. */
   use (job: JobEntry, entry: WorkerEntry): void {
-    const used = this.of(job).find(claim => claim.entry === entry)
+    const used = this.forJob(job).find(claim => claim.entry === entry)
     if (used !== undefined) this.dropWhere(job, claim => claim === used)
   }
 
@@ -71,8 +71,8 @@
   }
 
   private dropWhere (job: JobEntry, matches: (claim: CapacityReservation) => boolean): void {
-    const kept = this.of(job).filter(claim => !matches(claim))
-    if (kept.length === this.of(job).length) return
+    const kept = this.forJob(job).filter(claim => !matches(claim))
+    if (kept.length === this.forJob(job).length) return
     this.drop(job)
     for (const claim of kept) this.add(claim)
   }
--- a/src/scheduling/gangReservationPlanner.ts
+++ b/src/scheduling/gangReservationPlanner.ts
@@ -31,7 +31,7 @@
 
   /** Gives up a reservation that has been used or has expired, and makes the next one. */
   update (workers: Iterable<WorkerEntry>, now: number): void {
-    if (this.reserved !== undefined && (!this.reserved.isWaiting || this.claims.of(this.reserved).length === 0)) {
+    if (this.reserved !== undefined && (!this.reserved.isWaiting || this.claims.forJob(this.reserved).length === 0)) {
       this.claims.drop(this.reserved)
       this.reserved = undefined
     }
@@ -43,7 +43,7 @@
 
   /** Once all room would be free without backfilling tasks, closes the claims and returns the tasks to preempt. */
   takeBackfill (): TaskEntry[] {
-    const claims = this.reserved === undefined ? [] : this.claims.of(this.reserved)
+    const claims = this.reserved === undefined ? [] : this.claims.forJob(this.reserved)
     const tasks: TaskEntry[] = []
     for (const { entry, resources } of claims) {
       let { free } = entry.worker
--- a/src/scheduling/urgentReservationPlanner.ts
+++ b/src/scheduling/urgentReservationPlanner.ts
@@ -30,7 +30,7 @@
         this.waiting.delete(job)
         continue
       }
-      for (let missing = job.placeable.size - this.claims.of(job).length; missing > 0; missing -= 1) {
+      for (let missing = job.placeable.size - this.claims.forJob(job).length; missing > 0; missing -= 1) {
         if (plans.length >= PREEMPTIONS_PER_DECISION) return plans
         const plan = this.planner.plan(job, workers, victims, now)
         if (plan === undefined) break
