--- a/src/scheduling/capacityReservations.ts
+++ b/src/scheduling/capacityReservations.ts
@@ -28,7 +28,7 @@
     return this.byJob.get(job) ?? []
   }
 
-  on (entry: WorkerEntry): readonly CapacityReservation[] {
+  onWorker (entry: WorkerEntry): readonly CapacityReservation[] {
     return this.byWorker.get(entry) ?? []
   }
 
@@ -48,7 +48,7 @@
   /** Drops all claims of a job. */
   drop (job: JobEntry): void {
     for (const claim of this.forJob(job)) {
-      const rest = this.on(claim.entry).filter(other => other !== claim)
+      const rest = this.onWorker(claim.entry).filter(other => other !== claim)
       if (rest.length === 0) this.byWorker.delete(claim.entry)
       else this.byWorker.set(claim.entry, rest)
       this.onReleased(claim.entry)
--- a/src/scheduling/preemptionPlanner.ts
+++ b/src/scheduling/preemptionPlanner.ts
@@ -42,7 +42,7 @@
   }
 
   private victimsOn (entry: WorkerEntry, job: JobEntry, taken: ReadonlySet<string>, now: number): { victims: TaskEntry[], cost: number } | undefined {
-    const kept = this.claims.on(entry).reduce((sum, claim) => addResources(sum, claim.resources), NO_RESOURCES)
+    const kept = this.claims.onWorker(entry).reduce((sum, claim) => addResources(sum, claim.resources), NO_RESOURCES)
     let free = subtractResources(entry.worker.free, kept)
     const candidates: Array<{ task: TaskEntry, cost: number, resources: Resources }> = []
     for (const hold of entry.worker.held) {
