--- a/src/scheduling/capacityReservations.ts
+++ b/src/scheduling/capacityReservations.ts
@@ -46,7 +46,7 @@
   }
 
   /** Drops all claims of a job. */
-  drop (job: JobEntry): void {
+  releaseAll (job: JobEntry): void {
     for (const claim of this.forJob(job)) {
       const rest = this.onWorker(claim.entry).filter(other => other !== claim)
       if (rest.length === 0) this.byWorker.delete(claim.entry)
@@ -65,7 +65,7 @@
   /** Drops what has not been used in time, and claims of jobs that no longer wait. */
   expire (now: number): void {
     for (const job of this.byJob.keys()) {
-      if (!job.isWaiting) this.drop(job)
+      if (!job.isWaiting) this.releaseAll(job)
       else this.dropWhere(job, claim => claim.expiresAt <= now || !claim.entry.present)
     }
   }
@@ -73,7 +73,7 @@
   private dropWhere (job: JobEntry, matches: (claim: CapacityReservation) => boolean): void {
     const kept = this.forJob(job).filter(claim => !matches(claim))
     if (kept.length === this.forJob(job).length) return
-    this.drop(job)
+    this.releaseAll(job)
     for (const claim of kept) this.add(claim)
   }
 }
--- a/src/scheduling/gangReservationPlanner.ts
+++ b/src/scheduling/gangReservationPlanner.ts
@@ -32,12 +32,12 @@
   /** Gives up a reservation that has been used or has expired, and makes the next one. */
   update (workers: Iterable<WorkerEntry>, now: number): void {
     if (this.reserved !== undefined && (!this.reserved.isWaiting || this.claims.forJob(this.reserved).length === 0)) {
-      this.claims.drop(this.reserved)
+      this.claims.releaseAll(this.reserved)
       this.reserved = undefined
     }
     const first = this.firstWaiting(now)
     if (first === undefined || first === this.reserved || (this.reserved !== undefined && this.reserved.rank <= first.rank)) return
-    if (this.reserved !== undefined) this.claims.drop(this.reserved)
+    if (this.reserved !== undefined) this.claims.releaseAll(this.reserved)
     this.reserved = this.reserve(first, workers, now) ? first : undefined
   }
 
