--- a/src/scheduling/capacityReservations.ts
+++ b/src/scheduling/capacityReservations.ts
@@ -57,7 +57,7 @@
   }
 
   /** Drops one claim of a job on a worker, whose room it has taken. */
-  use (job: JobEntry, entry: WorkerEntry): void {
+  consume (job: JobEntry, entry: WorkerEntry): void {
     const used = this.forJob(job).find(claim => claim.entry === entry)
     if (used !== undefined) this.dropWhere(job, claim => claim === used)
   }
--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -309,7 +309,7 @@
       return []
     }
     if (this.claims.size > 0) {
-      for (const { entry } of placed) this.claims.use(job, entry)
+      for (const { entry } of placed) this.claims.consume(job, entry)
     }
     return placed.map(({ task, entry }) => this.startDecision(task, entry, task.attempt as Attempt))
   }
