--- a/src/scheduling/capacityReservations.ts
+++ b/src/scheduling/capacityReservations.ts
@@ -9,7 +9,7 @@
   readonly resources: Resources
   readonly expiresAt: number
   /** Whether deferrable tasks that can be checkpointed may use the room until the claim is closed. */
-  open: boolean
+  openToBackfill: boolean
 }
 
 /** Room that is kept for waiting jobs while it becomes free. Other jobs get only what is beyond it. */
@@ -41,7 +41,7 @@
   allows (entry: WorkerEntry, job: JobEntry): boolean {
     const claims = this.byWorker.get(entry)
     if (claims === undefined) return true
-    const kept = claims.reduce((sum, claim) => claim.job === job || (claim.open && isBackfill(job)) ? sum : addResources(sum, claim.resources), NO_RESOURCES)
+    const kept = claims.reduce((sum, claim) => claim.job === job || (claim.openToBackfill && isBackfill(job)) ? sum : addResources(sum, claim.resources), NO_RESOURCES)
     return fitsWithin(job.job.resources, subtractResources(entry.worker.free, kept))
   }
 
--- a/src/scheduling/gangReservationPlanner.ts
+++ b/src/scheduling/gangReservationPlanner.ts
@@ -56,7 +56,7 @@
       }
       if (!fitsWithin(resources, free)) return []
     }
-    for (const claim of claims) claim.open = false
+    for (const claim of claims) claim.openToBackfill = false
     return tasks
   }
 
@@ -93,7 +93,7 @@
       missing -= taken
     }
     if (missing > 0) return false
-    for (const { entry, tasks } of chosen) this.claims.add({ entry, job, resources: multiplyResources(demand, tasks), expiresAt: now + RESERVATION_MILLISECONDS, open: true })
+    for (const { entry, tasks } of chosen) this.claims.add({ entry, job, resources: multiplyResources(demand, tasks), expiresAt: now + RESERVATION_MILLISECONDS, openToBackfill: true })
     return true
   }
 
--- a/src/scheduling/urgentReservationPlanner.ts
+++ b/src/scheduling/urgentReservationPlanner.ts
@@ -34,7 +34,7 @@
         if (plans.length >= PREEMPTIONS_PER_DECISION) return plans
         const plan = this.planner.plan(job, workers, victims, now)
         if (plan === undefined) break
-        this.claims.add({ entry: plan.entry, job, resources: job.job.resources, expiresAt: now + CLAIM_MILLISECONDS, open: false })
+        this.claims.add({ entry: plan.entry, job, resources: job.job.resources, expiresAt: now + CLAIM_MILLISECONDS, openToBackfill: false })
         for (const victim of plan.victims) victims.add(victim.task)
         plans.push({ ...plan, job })
       }
