--- a/src/scheduling/capacityReservations.ts
+++ b/src/scheduling/capacityReservations.ts
@@ -41,7 +41,7 @@
   allows (entry: WorkerEntry, job: JobEntry): boolean {
     const claims = this.byWorker.get(entry)
     if (claims === undefined) return true
-    const kept = claims.reduce((sum, claim) => claim.job === job || (claim.openToBackfill && isBackfill(job)) ? sum : addResources(sum, claim.resources), NO_RESOURCES)
+    const kept = claims.reduce((sum, claim) => claim.job === job || (claim.openToBackfill && isBackfillJob(job)) ? sum : addResources(sum, claim.resources), NO_RESOURCES)
     return fitsWithin(job.job.resources, subtractResources(entry.worker.free, kept))
   }
 
@@ -79,7 +79,7 @@
 }
 
 /** Whether tasks of a job may use room that is kept for a gang: they can give it back without lost work, whatever their run time. */
-export function isBackfill (job: JobEntry): boolean {
+export function isBackfillJob (job: JobEntry): boolean {
   return job.job.urgency === 'deferrable' && job.job.checkpointable && job.job.kind === 'batch'
 }
 
--- a/src/scheduling/gangReservationPlanner.ts
+++ b/src/scheduling/gangReservationPlanner.ts
@@ -1,6 +1,6 @@
 import { fitsWithin, multiplyResources, NO_RESOURCES, addResources, subtractResources, type Resources } from '../contracts/resources.js'
 import { tasksThatFit } from './capacity.js'
-import { isBackfill, type CapacityReservations } from './capacityReservations.js'
+import { isBackfillJob, type CapacityReservations } from './capacityReservations.js'
 import type { JobEntry, TaskEntry } from './jobState.js'
 import type { WorkerEntry } from './workerEntry.js'
 
@@ -50,7 +50,7 @@
       for (const hold of entry.worker.held) {
         if (fitsWithin(resources, free)) break
         const task = this.findTask(hold.task)
-        if (task === undefined || task.phase !== 'running' || !isBackfill(task.job)) continue
+        if (task === undefined || task.phase !== 'running' || !isBackfillJob(task.job)) continue
         free = addResources(free, hold.resources)
         tasks.push(task)
       }
