--- a/src/scheduling/explain.ts
+++ b/src/scheduling/explain.ts
@@ -2,7 +2,7 @@
 import { tasksThatFit } from './capacity.js'
 import type { CapacityReservations } from './capacityReservations.js'
 import type { GangReservation } from './gangReservationPlanner.js'
-import { isExemptFromHeat, type HeatLimit } from './thermalLimit.js'
+import { isExemptFromHeat, type ThermalLimit } from './thermalLimit.js'
 import type { JobEntry } from './jobState.js'
 import type { TaskLedger } from './taskLedger.js'
 import type { TeamShares } from './teamShares.js'
@@ -14,7 +14,7 @@
   readonly ledger: TaskLedger
   readonly claims: CapacityReservations
   readonly health: WorkerHealth
-  readonly heat: HeatLimit
+  readonly heat: ThermalLimit
   readonly teams: TeamShares
   readonly gangs: GangReservation
   /** Processors that batch work may still start under the allowed capacity, in thousandths. */
--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -7,7 +7,7 @@
 import type { RenewalPlan, SchedulingDecision } from './decisions.js'
 import { explainJob } from './explain.js'
 import { GangReservation } from './gangReservationPlanner.js'
-import { HeatLimit, isExemptFromHeat, THROTTLE_PERCENT, type HeatPlan } from './thermalLimit.js'
+import { ThermalLimit, isExemptFromHeat, THROTTLE_PERCENT, type HeatPlan } from './thermalLimit.js'
 import { JobQueue } from './jobQueue.js'
 import type { JobEntry, TaskEntry } from './jobState.js'
 import { bestOf, type PlacementPolicy } from './placementPolicy.js'
@@ -47,7 +47,7 @@
   private readonly queue = new JobQueue()
   private readonly teams = new TeamShares()
   private readonly health = new WorkerHealth()
-  private readonly heat = new HeatLimit(task => this.ledger.findTask(task))
+  private readonly heat = new ThermalLimit(task => this.ledger.findTask(task))
   /** Processors that batch work and gangs may start in this decision, in thousandths. */
   private heatRoom = Infinity
   private readonly claims = new CapacityReservations(entry => this.queue.noteGrowth(entry))
--- a/src/scheduling/thermalLimit.ts
+++ b/src/scheduling/thermalLimit.ts
@@ -18,7 +18,7 @@
 const NO_LIMIT: HeatPlan = { checkpoint: [], throttle: [], restore: [], roomThousandths: Infinity }
 
 /** Keeps the processors in use below the allowed share of all workers. A lower share holds at once, a higher one is approached slowly. */
-export class HeatLimit {
+export class ThermalLimit {
   private target = 100
   private effective = 100
   private advancedAt: number | undefined
