--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -7,7 +7,7 @@
 import type { RenewalPlan, SchedulingDecision } from './decisions.js'
 import { explainJob } from './explain.js'
 import { GangReservation } from './gangReservationPlanner.js'
-import { ThermalLimit, isExemptFromHeat, THROTTLE_PERCENT, type HeatPlan } from './thermalLimit.js'
+import { ThermalLimit, isExemptFromHeat, THROTTLE_PERCENT, type ThermalPlan } from './thermalLimit.js'
 import { JobQueue } from './jobQueue.js'
 import type { JobEntry, TaskEntry } from './jobState.js'
 import { bestOf, type PlacementPolicy } from './placementPolicy.js'
@@ -328,7 +328,7 @@
   }
 
   private applyHeat (now: number, decisions: SchedulingDecision[]): void {
-    const plan: HeatPlan = this.heat.plan(this.ledger.workers.values(), now)
+    const plan: ThermalPlan = this.heat.plan(this.ledger.workers.values(), now)
     this.heatRoom = plan.roomThousandths
     if (this.heatRoom > 0) this.queue.wakeHeld()
     for (const task of plan.checkpoint) this.preempt(task, 'the allowed capacity', now, decisions)
--- a/src/scheduling/thermalLimit.ts
+++ b/src/scheduling/thermalLimit.ts
@@ -7,7 +7,7 @@
 export const THROTTLE_PERCENT = 50
 
 /** Tasks to checkpoint, to throttle and to run at full speed again, and what may still be started. */
-export interface HeatPlan {
+export interface ThermalPlan {
   readonly checkpoint: TaskEntry[]
   readonly throttle: TaskEntry[]
   readonly restore: TaskEntry[]
@@ -15,7 +15,7 @@
   readonly roomThousandths: number
 }
 
-const NO_LIMIT: HeatPlan = { checkpoint: [], throttle: [], restore: [], roomThousandths: Infinity }
+const NO_LIMIT: ThermalPlan = { checkpoint: [], throttle: [], restore: [], roomThousandths: Infinity }
 
 /** Keeps the processors in use below the allowed share of all workers. A lower share holds at once, a higher one is approached slowly. */
 export class ThermalLimit {
@@ -35,7 +35,7 @@
     this.target = percent
   }
 
-  plan (workers: Iterable<WorkerEntry>, now: number): HeatPlan {
+  plan (workers: Iterable<WorkerEntry>, now: number): ThermalPlan {
     const elapsed = now - (this.advancedAt ?? now)
     this.advancedAt = now
     this.effective = Math.min(this.target, this.effective + elapsed * RISE_PERCENT_PER_SECOND / 1000)
@@ -58,7 +58,7 @@
     return this.planFor(capacity * this.effective / 100 - used, deferrable)
   }
 
-  private planFor (room: number, deferrable: TaskEntry[]): HeatPlan {
+  private planFor (room: number, deferrable: TaskEntry[]): ThermalPlan {
     let roomThousandths = room
     const checkpoint: TaskEntry[] = []
     const throttle: TaskEntry[] = []
