--- a/src/scheduling/thermalLimit.ts
+++ b/src/scheduling/thermalLimit.ts
@@ -12,10 +12,10 @@
   readonly throttle: TaskEntry[]
   readonly restore: TaskEntry[]
   /** Processors that may be started, in thousandths; Infinity without a limit. */
-  readonly roomThousandths: number
+  readonly headroomThousandths: number
 }
 
-const NO_LIMIT: ThermalPlan = { checkpoint: [], throttle: [], restore: [], roomThousandths: Infinity }
+const NO_LIMIT: ThermalPlan = { checkpoint: [], throttle: [], restore: [], headroomThousandths: Infinity }
 
 /** Keeps the processors in use below the allowed share of all workers. A lower share holds at once, a higher one is approached slowly. */
 export class ThermalLimit {
@@ -82,7 +82,7 @@
       this.throttled.delete(task)
       restore.push(task)
     }
-    return { checkpoint, throttle, restore, roomThousandths: this.effective >= 100 ? Infinity : roomThousandths }
+    return { checkpoint, throttle, restore, headroomThousandths: this.effective >= 100 ? Infinity : roomThousandths }
   }
 }
 
