--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -7,7 +7,7 @@
 import type { RenewalPlan, SchedulingDecision } from './decisions.js'
 import { explainJob } from './explain.js'
 import { GangReservation } from './gangReservationPlanner.js'
-import { ThermalLimit, isExemptFromHeat, THROTTLE_PERCENT, type ThermalPlan } from './thermalLimit.js'
+import { ThermalLimit, isExemptFromThermalLimit, THROTTLE_PERCENT, type ThermalPlan } from './thermalLimit.js'
 import { JobQueue } from './jobQueue.js'
 import type { JobEntry, TaskEntry } from './jobState.js'
 import { bestOf, type PlacementPolicy } from './placementPolicy.js'
@@ -324,7 +324,7 @@
 
   private tasksInHeatRoom (job: JobEntry): number {
     const { processorsThousandths } = job.job.resources
-    return isExemptFromHeat(job) || processorsThousandths === 0 ? Infinity : Math.floor(this.heatRoom / processorsThousandths)
+    return isExemptFromThermalLimit(job) || processorsThousandths === 0 ? Infinity : Math.floor(this.heatRoom / processorsThousandths)
   }
 
   private applyHeat (now: number, decisions: SchedulingDecision[]): void {
--- a/src/scheduling/thermalLimit.ts
+++ b/src/scheduling/thermalLimit.ts
@@ -87,7 +87,7 @@
 }
 
 /** Whether tasks of a job start although the allowed share is used up: urgent work and services are limited by workers only. */
-export function isExemptFromHeat (job: JobEntry): boolean {
+export function isExemptFromThermalLimit (job: JobEntry): boolean {
   return job.job.urgency === 'urgent' || job.job.kind === 'service'
 }
 
