--- a/src/scheduling/explain.ts
+++ b/src/scheduling/explain.ts
@@ -44,7 +44,7 @@
     lines.push(`cannot run: the ${present.length} workers that answer could carry ${couldRun} of its tasks at once if they were empty; workers must be added or come back, or the job must be submitted smaller`)
     return lines
   }
-  if (!isExemptFromThermalLimit(job) && heatRoom < demand.processorsThousandths) lines.push(`heat: ${heat.percent.toFixed(0)} % of the capacity is allowed and in use; it is placed when the share rises or tasks end`)
+  if (!isExemptFromThermalLimit(job) && heatRoom < demand.processorsThousandths) lines.push(`heat: ${heat.effectivePercent.toFixed(0)} % of the capacity is allowed and in use; it is placed when the share rises or tasks end`)
   const withRoom = able.filter(entry => fitsWithin(demand, entry.worker.free))
   const unhealthy = able.filter(entry => !health.accepts(entry, job, now))
   const kept = withRoom.filter(entry => !claims.allows(entry, job))
--- a/src/scheduling/thermalLimit.ts
+++ b/src/scheduling/thermalLimit.ts
@@ -27,12 +27,12 @@
   constructor (private readonly findTask: (task: string) => TaskEntry | undefined) {}
 
   /** Share of the workers' capacity that may be used at present, in percent. */
-  get percent (): number {
+  get effectivePercent (): number {
     return this.effective
   }
 
-  setTarget (percent: number): void {
-    this.target = percent
+  setTarget (effectivePercent: number): void {
+    this.target = effectivePercent
   }
 
   plan (workers: Iterable<WorkerEntry>, now: number): ThermalPlan {
