--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -96,7 +96,7 @@
 
   /** Limits the processors in use to a share of the workers' capacity; urgent work and services are exempt. */
   setAllowedCapacity (percent: number): void {
-    this.heat.setTarget(percent)
+    this.heat.setTargetPercent(percent)
   }
 
   cancelJob (identity: string): void {
--- a/src/scheduling/thermalLimit.ts
+++ b/src/scheduling/thermalLimit.ts
@@ -31,7 +31,7 @@
     return this.effective
   }
 
-  setTarget (effectivePercent: number): void {
+  setTargetPercent (effectivePercent: number): void {
     this.target = effectivePercent
   }
 
