--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -15,7 +15,7 @@
 import { PreemptionPlanner } from './preemptionPlanner.js'
 import { TeamShares } from './teamShares.js'
 import { chooseSpread } from './rackSpread.js'
-import { UrgentRoom } from './urgentReservationPlanner.js'
+import { UrgentReservationPlanner } from './urgentReservationPlanner.js'
 import { WorkerHealth } from './workerHealth.js'
 import { TaskLedger } from './taskLedger.js'
 import type { WorkerEntry } from './workerEntry.js'
@@ -51,7 +51,7 @@
   /** Processors that batch work and gangs may start in this decision, in thousandths. */
   private heatRoom = Infinity
   private readonly claims = new CapacityReservations(entry => this.queue.noteGrowth(entry))
-  private readonly urgentRoom = new UrgentRoom(this.claims, new PreemptionPlanner(this.claims, task => this.ledger.findTask(task)))
+  private readonly urgentRoom = new UrgentReservationPlanner(this.claims, new PreemptionPlanner(this.claims, task => this.ledger.findTask(task)))
   private readonly gangs = new GangReservation(this.claims, task => this.ledger.findTask(task))
   /** Waiting deferrable jobs, by the time at which they count as normal. */
   private readonly aging = new FlatQueue<JobEntry>()
--- a/src/scheduling/urgentReservationPlanner.ts
+++ b/src/scheduling/urgentReservationPlanner.ts
@@ -9,7 +9,7 @@
 const CLAIM_MILLISECONDS = 8000
 
 /** Makes room for urgent jobs that did not fit, and keeps it for them. */
-export class UrgentRoom {
+export class UrgentReservationPlanner {
   private readonly waiting = new Set<JobEntry>()
 
   constructor (private readonly claims: CapacityReservations, private readonly planner: PreemptionPlanner) {}
