--- a/src/scheduling/explain.ts
+++ b/src/scheduling/explain.ts
@@ -1,7 +1,7 @@
 import { fitsWithin, subtractResources, type Resources } from '../contracts/resources.js'
 import { tasksThatFit } from './capacity.js'
 import type { CapacityReservations } from './capacityReservations.js'
-import type { GangReservation } from './gangReservationPlanner.js'
+import type { GangReservationPlanner } from './gangReservationPlanner.js'
 import { isExemptFromThermalLimit, type ThermalLimit } from './thermalLimit.js'
 import type { JobEntry } from './jobState.js'
 import type { TaskLedger } from './taskLedger.js'
@@ -16,7 +16,7 @@
   readonly health: WorkerHealth
   readonly heat: ThermalLimit
   readonly teams: TeamShares
-  readonly gangs: GangReservation
+  readonly gangs: GangReservationPlanner
   /** Processors that batch work may still start under the allowed capacity, in thousandths. */
   readonly heatRoom: number
 }
--- a/src/scheduling/gangReservationPlanner.ts
+++ b/src/scheduling/gangReservationPlanner.ts
@@ -13,7 +13,7 @@
  * Keeps room for the gang that comes first among those that wait. There is one reservation at a time, so that two gangs
  * never hold half of what they need. No run time is assumed: meanwhile the room is used by tasks that can be checkpointed.
  */
-export class GangReservation {
+export class GangReservationPlanner {
   private readonly waiting = new Set<JobEntry>()
   private reserved: JobEntry | undefined
 
--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -6,7 +6,7 @@
 import { CapacityReservations } from './capacityReservations.js'
 import type { RenewalPlan, SchedulingDecision } from './decisions.js'
 import { explainJob } from './explain.js'
-import { GangReservation } from './gangReservationPlanner.js'
+import { GangReservationPlanner } from './gangReservationPlanner.js'
 import { ThermalLimit, isExemptFromThermalLimit, THROTTLE_PERCENT, type ThermalPlan } from './thermalLimit.js'
 import { JobQueue } from './jobQueue.js'
 import type { JobEntry, TaskEntry } from './jobState.js'
@@ -52,7 +52,7 @@
   private heatRoom = Infinity
   private readonly claims = new CapacityReservations(entry => this.queue.noteGrowth(entry))
   private readonly urgentRoom = new UrgentReservationPlanner(this.claims, new PreemptionPlanner(this.claims, task => this.ledger.findTask(task)))
-  private readonly gangs = new GangReservation(this.claims, task => this.ledger.findTask(task))
+  private readonly gangs = new GangReservationPlanner(this.claims, task => this.ledger.findTask(task))
   /** Waiting deferrable jobs, by the time at which they count as normal. */
   private readonly aging = new FlatQueue<JobEntry>()
   private readonly changedJobs = new Set<JobEntry>()
