--- a/bench/capacityPlacement.ts
+++ b/bench/capacityPlacement.ts
@@ -5,7 +5,7 @@
 import type { ReportedTask, WorkerReport } from '../src/contracts/workerProtocol.js'
 import { HttpWorkerClient } from '../src/links/workerClient.js'
 import { Membership } from '../src/machines/membership.js'
-import { JobBook } from '../src/scheduling/jobRegistry.js'
+import { JobRegistry } from '../src/scheduling/jobRegistry.js'
 import { BestFitPolicy } from '../src/scheduling/placementPolicy.js'
 import { TASK_LEASE_MILLISECONDS } from '../src/scheduling/holdTimers.js'
 import { taskName } from '../src/scheduling/jobState.js'
@@ -116,7 +116,7 @@
   for (const size of MEMORY_SIZES) {
     const records = JSON.stringify(createInventory(1, size * TASKS_PER_JOB, seed).jobs)
     report('jobs in book', size, retainedBytes(() => {
-      const book = new JobBook(size)
+      const book = new JobRegistry(size)
       for (const [offset, job] of (JSON.parse(records) as Job[]).entries()) book.apply({ offset, identity: job.identity, writer: 'one', logicalTime: offset, body: { type: 'jobAccepted', job, failureDomain: 'gent-a' } })
       return book
     }))
--- a/src/entry/jobTask.ts
+++ b/src/entry/jobTask.ts
@@ -8,7 +8,7 @@
 import type { ServingError } from '../contracts/verdict.js'
 import type { AppendOutcome, LogAppender } from '../links/logAppender.js'
 import type { LogFollower } from '../links/logFollower.js'
-import { JobBook, rangesOf, type BookedJob } from '../scheduling/jobRegistry.js'
+import { JobRegistry, rangesOf, type BookedJob } from '../scheduling/jobRegistry.js'
 import { couldEverFit } from '../scheduling/capacity.js'
 import type { ConfigurationTask } from './configurationTask.js'
 import type { EntryContext } from './entryContext.js'
@@ -23,7 +23,7 @@
 
 /** Accepts jobs into the log and follows the jobs of the own failure domain. */
 export class JobTask extends DisposableObject {
-  readonly book = new JobBook(KEPT_ENDED_JOBS)
+  readonly book = new JobRegistry(KEPT_ENDED_JOBS)
   private readonly appenders = new Map<string, LogAppender>()
   /** Jobs whose end has been sent and not yet read back. */
   private readonly ending = new Set<string>()
--- a/src/scheduling/jobRegistry.ts
+++ b/src/scheduling/jobRegistry.ts
@@ -13,7 +13,7 @@
 }
 
 /** Jobs of a failure domain, built from the records of its stream. Ended jobs are kept for a while so that callers can read them. */
-export class JobBook {
+export class JobRegistry {
   private readonly jobs = new Map<string, BookedJob>()
   private readonly ended: string[] = []
 
