--- a/src/entry/jobApi.ts
+++ b/src/entry/jobApi.ts
@@ -1,7 +1,7 @@
 import { request, type Agent } from 'undici'
 import type { JobState, JobSubmission } from '../contracts/jobs.js'
 import type { Membership } from '../machines/membership.js'
-import type { BookedJob } from '../scheduling/jobRegistry.js'
+import type { RegisteredJob } from '../scheduling/jobRegistry.js'
 import { CALLER_HEADERS } from '../requests/headers.js'
 import { errorResponse } from './errorResponse.js'
 import type { EntryContext } from './entryContext.js'
@@ -70,7 +70,7 @@
     return errorResponse({ code: 'notReady', verdict: 'notRun', message: `failure domain '${failureDomain}' cannot be reached`, retryAfterSeconds: 2 })
   }
 
-  private view (booked: BookedJob): JobView {
+  private view (booked: RegisteredJob): JobView {
     const { job } = booked
     const state = booked.outcome ?? this.placement.current?.stateOf(job.identity)?.state ?? 'waiting'
     return { job: job.identity, failureDomain: booked.failureDomain, name: job.name, kind: job.kind, team: job.team, state, tasks: job.tasks, reason: booked.reason }
--- a/src/scheduling/jobRegistry.ts
+++ b/src/scheduling/jobRegistry.ts
@@ -2,7 +2,7 @@
 import type { Job, JobOutcome } from '../contracts/jobs.js'
 
 /** A job as the log tells it. */
-export interface BookedJob {
+export interface RegisteredJob {
   readonly job: Job
   readonly failureDomain: string
   cancelRequested: boolean
@@ -14,7 +14,7 @@
 
 /** Jobs of a failure domain, built from the records of its stream. Ended jobs are kept for a while so that callers can read them. */
 export class JobRegistry {
-  private readonly jobs = new Map<string, BookedJob>()
+  private readonly jobs = new Map<string, RegisteredJob>()
   private readonly ended: string[] = []
 
   constructor (private readonly keptEndedJobs: number) {}
@@ -42,16 +42,16 @@
     }
   }
 
-  find (identity: string): BookedJob | undefined {
+  find (identity: string): RegisteredJob | undefined {
     return this.jobs.get(identity)
   }
 
   /** Jobs that have not ended, in order of acceptance. */
-  open (): BookedJob[] {
+  open (): RegisteredJob[] {
     return [...this.jobs.values()].filter(booked => booked.outcome === undefined)
   }
 
-  all (): BookedJob[] {
+  all (): RegisteredJob[] {
     return [...this.jobs.values()]
   }
 
