--- a/src/entry/operatorApi.ts
+++ b/src/entry/operatorApi.ts
@@ -61,7 +61,7 @@
       term: this.ownership.term,
       isOwner: this.ownership.isOwner(),
       activeRequests: this.frontDoor.active,
-      openJobs: this.jobs.book.open().length,
+      openJobs: this.jobs.book.openJobs().length,
       outdated: this.newerRecords() > 0,
       newerRecords: this.newerRecords(),
       peers: this.links.peers().map(peer => peer.instance),
--- a/src/entry/placementTask.ts
+++ b/src/entry/placementTask.ts
@@ -97,7 +97,7 @@
     const firstOwner = this.term === 1
     const lapseAt = firstOwner ? now : now + silentWorkerBoundMilliseconds(TASK_LEASE_MILLISECONDS, TASK_LEASE_MARGIN_MILLISECONDS)
     this.scheduler = new Scheduler(this.term, lapseAt, new BestFitPolicy())
-    for (const booked of this.jobs.book.open()) {
+    for (const booked of this.jobs.book.openJobs()) {
       this.scheduler.addJob(booked.job, now, !firstOwner)
       this.scheduler.onProgress(booked.job.identity, booked.finished, now)
       if (booked.cancelRequested) this.scheduler.cancelJob(booked.job.identity)
--- a/src/scheduling/jobRegistry.ts
+++ b/src/scheduling/jobRegistry.ts
@@ -47,7 +47,7 @@
   }
 
   /** Jobs that have not ended, in order of acceptance. */
-  open (): RegisteredJob[] {
+  openJobs (): RegisteredJob[] {
     return [...this.jobs.values()].filter(booked => booked.outcome === undefined)
   }
 
