--- a/src/entry/jobApi.ts
+++ b/src/entry/jobApi.ts
@@ -42,7 +42,7 @@
 
   /** Jobs of the own failure domain. */
   list (): Response {
-    return Response.json({ failureDomain: this.context.settings.failureDomain, jobs: this.jobs.book.all().map(booked => this.view(booked)) })
+    return Response.json({ failureDomain: this.context.settings.failureDomain, jobs: this.jobs.book.allJobs().map(booked => this.view(booked)) })
   }
 
   async read (identity: string, forwarded: boolean): Promise<Response> {
--- a/src/scheduling/jobRegistry.ts
+++ b/src/scheduling/jobRegistry.ts
@@ -51,7 +51,7 @@
     return [...this.jobs.values()].filter(booked => booked.outcome === undefined)
   }
 
-  all (): RegisteredJob[] {
+  allJobs (): RegisteredJob[] {
     return [...this.jobs.values()]
   }
 
