--- a/src/entry/placementTask.ts
+++ b/src/entry/placementTask.ts
@@ -6,7 +6,7 @@
 import type { CommandOutcome, WorkerClient } from '../links/workerClient.js'
 import type { Membership } from '../machines/membership.js'
 import { BestFitPolicy } from '../scheduling/placementPolicy.js'
-import { indexesOf, rangesOf } from '../scheduling/jobRegistry.js'
+import { expandIndexRanges, rangesOf } from '../scheduling/jobRegistry.js'
 import { jobOfTask } from '../scheduling/jobState.js'
 import type { RenewalPlan, SchedulingDecision } from '../scheduling/decisions.js'
 import { Scheduler } from '../scheduling/scheduler.js'
@@ -109,7 +109,7 @@
     if (scheduler === undefined) return
     if (body.type === 'jobAccepted' && this.jobs.book.find(body.job.identity)?.outcome === undefined) scheduler.addJob(body.job, now, this.term > 1 && now - this.ownerSince < LATE_RECORDS_MILLISECONDS)
     if (body.type === 'jobCancelRequested') scheduler.cancelJob(body.job)
-    if (body.type === 'jobProgress') scheduler.onProgress(body.job, indexesOf(body.finished, this.jobs.book.find(body.job)?.job.tasks ?? 0), now)
+    if (body.type === 'jobProgress') scheduler.onProgress(body.job, expandIndexRanges(body.finished, this.jobs.book.find(body.job)?.job.tasks ?? 0), now)
     if (body.type === 'jobEnded') scheduler.forgetJob(body.job)
   }
 
--- a/src/scheduling/jobRegistry.ts
+++ b/src/scheduling/jobRegistry.ts
@@ -34,7 +34,7 @@
       }
       case 'jobProgress': {
         const booked = this.jobs.get(body.job)
-        for (const index of booked === undefined ? [] : indexesOf(body.finished, booked.job.tasks)) booked?.finished.add(index)
+        for (const index of booked === undefined ? [] : expandIndexRanges(body.finished, booked.job.tasks)) booked?.finished.add(index)
         return
       }
       case 'jobEnded':
@@ -67,7 +67,7 @@
 }
 
 /** Task indexes of inclusive ranges, below `tasks`. */
-export function indexesOf (ranges: ReadonlyArray<readonly [number, number]>, tasks: number): number[] {
+export function expandIndexRanges (ranges: ReadonlyArray<readonly [number, number]>, tasks: number): number[] {
   const indexes: number[] = []
   for (const [first, last] of ranges) {
     for (let index = first; index <= Math.min(last, tasks - 1); index += 1) indexes.push(index)
