--- a/src/entry/jobTask.ts
+++ b/src/entry/jobTask.ts
@@ -8,7 +8,7 @@
 import type { ServingError } from '../contracts/verdict.js'
 import type { AppendOutcome, LogAppender } from '../links/logAppender.js'
 import type { LogFollower } from '../links/logFollower.js'
-import { JobRegistry, rangesOf, type RegisteredJob } from '../scheduling/jobRegistry.js'
+import { JobRegistry, toIndexRanges, type RegisteredJob } from '../scheduling/jobRegistry.js'
 import { couldEverFit } from '../scheduling/capacity.js'
 import type { ConfigurationTask } from './configurationTask.js'
 import type { EntryContext } from './entryContext.js'
@@ -107,7 +107,7 @@
 
   /** Finished tasks only grow in number, so that their count identifies the record. */
   private async reappendProgress ({ job, failureDomain, finished }: RegisteredJob): Promise<AppendOutcome> {
-    return await this.append(failureDomain, { type: 'jobProgress', job: job.identity, finished: rangesOf(finished) }, `progress:${job.identity}:${finished.size}`)
+    return await this.append(failureDomain, { type: 'jobProgress', job: job.identity, finished: toIndexRanges(finished) }, `progress:${job.identity}:${finished.size}`)
   }
 
   /** Appends the end of a job. */
--- a/src/entry/placementTask.ts
+++ b/src/entry/placementTask.ts
@@ -6,7 +6,7 @@
 import type { CommandOutcome, WorkerClient } from '../links/workerClient.js'
 import type { Membership } from '../machines/membership.js'
 import { BestFitPolicy } from '../scheduling/placementPolicy.js'
-import { expandIndexRanges, rangesOf } from '../scheduling/jobRegistry.js'
+import { expandIndexRanges, toIndexRanges } from '../scheduling/jobRegistry.js'
 import { jobOfTask } from '../scheduling/jobState.js'
 import type { RenewalPlan, SchedulingDecision } from '../scheduling/decisions.js'
 import { Scheduler } from '../scheduling/scheduler.js'
@@ -148,7 +148,7 @@
   }
 
   private async appendProgress (job: string, finished: readonly number[]): Promise<void> {
-    const body = { type: 'jobProgress' as const, job, finished: rangesOf(finished) }
+    const body = { type: 'jobProgress' as const, job, finished: toIndexRanges(finished) }
     const identity = randomUUID()
     while (!this.isDisposed && this.scheduler !== undefined) {
       if (await this.jobs.recordProgress(body, identity)) return
--- a/src/scheduling/jobRegistry.ts
+++ b/src/scheduling/jobRegistry.ts
@@ -76,7 +76,7 @@
 }
 
 /** Inclusive ranges of task indexes. */
-export function rangesOf (indexes: Iterable<number>): Array<[number, number]> {
+export function toIndexRanges (indexes: Iterable<number>): Array<[number, number]> {
   const ranges: Array<[number, number]> = []
   for (const index of [...indexes].sort((left, right) => left - right)) {
     const last = ranges.at(-1)
