--- a/src/scheduling/jobState.ts
+++ b/src/scheduling/jobState.ts
@@ -14,7 +14,7 @@
   attempt: Attempt | undefined
   worker: string | undefined
   /** Workers that hold any attempt of the task. It is placed only when there are none. */
-  places: number
+  holdCount: number
   checkpointMilliseconds: number
   /** Start of the current attempt, and the last preemption, in monotonic milliseconds of the owner. */
   startedAt: number
@@ -48,7 +48,7 @@
   constructor (readonly job: Job, readonly addedAt: number, readonly order: number, readonly mayBePlaced: boolean, private readonly use: TeamUse) {
     this.rank = urgencyRank(job.urgency)
     this.tasks = Array.from({ length: job.tasks }, (_, index): TaskEntry => ({
-      job: this, task: taskName(job.identity, index), index, phase: 'waiting', attempt: undefined, worker: undefined, places: 0, checkpointMilliseconds: 0, startedAt: addedAt, preemptedAt: -Infinity, failures: 0, failedOn: new Map()
+      job: this, task: taskName(job.identity, index), index, phase: 'waiting', attempt: undefined, worker: undefined, holdCount: 0, checkpointMilliseconds: 0, startedAt: addedAt, preemptedAt: -Infinity, failures: 0, failedOn: new Map()
     }))
     this.placeable = new Set(this.tasks)
     this.counts.waiting = job.tasks
@@ -63,7 +63,7 @@
 
   /** Notes that one more (1) or one fewer (-1) worker holds an attempt of the task. */
   changePlaces (task: TaskEntry, change: 1 | -1): void {
-    task.places += change
+    task.holdCount += change
     this.places += change
     this.use.change(this.job.resources, change)
     this.notePlaceable(task)
@@ -86,7 +86,7 @@
   }
 
   private notePlaceable (task: TaskEntry): void {
-    if (task.phase === 'waiting' && task.places === 0) this.placeable.add(task)
+    if (task.phase === 'waiting' && task.holdCount === 0) this.placeable.add(task)
     else this.placeable.delete(task)
   }
 }
