--- a/src/scheduling/jobState.ts
+++ b/src/scheduling/jobState.ts
@@ -33,7 +33,7 @@
   rank: number
   readonly counts: Record<TaskPhase, number> = { waiting: 0, starting: 0, running: 0, stopping: 0, finished: 0 }
   /** Workers that hold an attempt of any task. */
-  places = 0
+  holdCount = 0
   /** Whether it is in the queue of waiting jobs. */
   queued = false
   cancelled = false
@@ -64,7 +64,7 @@
   /** Notes that one more (1) or one fewer (-1) worker holds an attempt of the task. */
   changePlaces (task: TaskEntry, change: 1 | -1): void {
     task.holdCount += change
-    this.places += change
+    this.holdCount += change
     this.use.change(this.job.resources, change)
     this.notePlaceable(task)
   }
@@ -77,7 +77,7 @@
 
   /** Takes what is still held out of the team's use when the job is forgotten. */
   leaveTeam (): void {
-    for (let place = 0; place < this.places; place += 1) this.use.change(this.job.resources, -1)
+    for (let place = 0; place < this.holdCount; place += 1) this.use.change(this.job.resources, -1)
   }
 
   get state (): JobState {
--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -383,7 +383,7 @@
       return
     }
     if (!entry.cancelled && entry.failure === undefined) return
-    if (entry.places > 0) {
+    if (entry.holdCount > 0) {
       for (const task of entry.tasks) this.ledger.stopCurrent(task, now)
       return
     }
--- a/src/scheduling/taskLedger.ts
+++ b/src/scheduling/taskLedger.ts
@@ -77,7 +77,7 @@
     for (const task of job.tasks) {
       if (task.phase === 'finished') this.acknowledgeFinished(task)
     }
-    for (const entry of job.places === 0 ? [] : this.workers.values()) {
+    for (const entry of job.holdCount === 0 ? [] : this.workers.values()) {
       for (const hold of entry.worker.held) {
         if (hold.job === identity) this.beginStop(entry, hold, 0)
       }
