--- a/src/scheduling/jobState.ts
+++ b/src/scheduling/jobState.ts
@@ -62,7 +62,7 @@
   }
 
   /** Notes that one more (1) or one fewer (-1) worker holds an attempt of the task. */
-  changePlaces (task: TaskEntry, change: 1 | -1): void {
+  changeHoldCount (task: TaskEntry, change: 1 | -1): void {
     task.holdCount += change
     this.holdCount += change
     this.use.change(this.job.resources, change)
--- a/src/scheduling/taskLedger.ts
+++ b/src/scheduling/taskLedger.ts
@@ -110,7 +110,7 @@
     task.worker = entry.worker.name
     task.startedAt = now
     task.job.setPhase(task, 'starting')
-    task.job.changePlaces(task, 1)
+    task.job.changeHoldCount(task, 1)
     this.observer.onWorkerChanged(entry)
     return true
   }
@@ -331,7 +331,7 @@
     for (const hold of [...entry.worker.held]) {
       const task = hold.job === identity ? job.tasks[indexOfTask(hold.task)] : undefined
       if (task === undefined) continue
-      job.changePlaces(task, 1)
+      job.changeHoldCount(task, 1)
       this.onReportedRunning(entry, task, { task: hold.task, attempt: hold.attempt, job: identity, taskIndex: task.index, state: 'running', resources: hold.resources, usage: hold.resources, checkpointMilliseconds: 0 }, now)
     }
     for (const [task, reported] of [...entry.endedOrphans]) {
@@ -346,7 +346,7 @@
     if (previous !== undefined) this.release(entry, previous)
     const hold = entry.worker.adopt(reported.task, jobOfTask(reported.task), reported.attempt, reported.resources, 'unknown', now)
     this.timers.track(entry, hold)
-    task?.job.changePlaces(task, 1)
+    task?.job.changeHoldCount(task, 1)
     this.observer.onWorkerChanged(entry)
     return hold
   }
@@ -373,7 +373,7 @@
     this.observer.onWorkerChanged(entry)
     const task = this.findTask(hold.task)
     if (task === undefined) return
-    task.job.changePlaces(task, -1)
+    task.job.changeHoldCount(task, -1)
     if (task.phase !== 'finished' && isCurrent(task, entry, hold)) {
       task.attempt = undefined
       task.worker = undefined
