--- a/src/scheduling/jobState.ts
+++ b/src/scheduling/jobState.ts
@@ -76,7 +76,7 @@
   }
 
   /** Takes what is still held out of the team's use when the job is forgotten. */
-  leaveTeam (): void {
+  releaseTeamUsage (): void {
     for (let place = 0; place < this.holdCount; place += 1) this.use.change(this.job.resources, -1)
   }
 
--- a/src/scheduling/taskLedger.ts
+++ b/src/scheduling/taskLedger.ts
@@ -82,7 +82,7 @@
         if (hold.job === identity) this.beginStop(entry, hold, 0)
       }
     }
-    job.leaveTeam()
+    job.releaseTeamUsage()
     this.jobs.delete(identity)
   }
 
