--- a/src/scheduling/explain.ts
+++ b/src/scheduling/explain.ts
@@ -27,7 +27,7 @@
   const lines = [`${counts.waiting} waiting, ${counts.starting} starting, ${counts.running} running, ${counts.stopping} stopping, ${counts.finished} finished of ${job.tasks.length} tasks`]
   if (job.cancelled) lines.push('cancelled; it ends when its tasks have stopped or their leases have lapsed')
   else if (counts.waiting === 0) lines.push('all tasks have been placed')
-  else if (job.mayBePlaced && !inventoryComplete) lines.push('waits for the inventory of every worker after a change of owner; silent workers are waited for until their leases have lapsed')
+  else if (job.mayAlreadyBePlaced && !inventoryComplete) lines.push('waits for the inventory of every worker after a change of owner; silent workers are waited for until their leases have lapsed')
   else if (job.placeable.size === 0) lines.push('waits until earlier attempts of its tasks have stopped or their leases have lapsed')
   else lines.push(...reasons(job, sources, now))
   return lines.join('\n')
--- a/src/scheduling/jobState.ts
+++ b/src/scheduling/jobState.ts
@@ -43,9 +43,9 @@
 
   /**
    * @param order Place in the order of acceptance.
-   * @param mayBePlaced Whether an earlier owner may have placed tasks, so that placing waits for the inventory of every worker.
+   * @param mayAlreadyBePlaced Whether an earlier owner may have placed tasks, so that placing waits for the inventory of every worker.
    */
-  constructor (readonly job: Job, readonly addedAt: number, readonly order: number, readonly mayBePlaced: boolean, private readonly use: TeamUse) {
+  constructor (readonly job: Job, readonly addedAt: number, readonly order: number, readonly mayAlreadyBePlaced: boolean, private readonly use: TeamUse) {
     this.rank = urgencyRank(job.urgency)
     this.tasks = Array.from({ length: job.tasks }, (_, index): TaskEntry => ({
       job: this, task: taskName(job.identity, index), index, phase: 'waiting', attempt: undefined, worker: undefined, holdCount: 0, checkpointMilliseconds: 0, startedAt: addedAt, preemptedAt: -Infinity, failures: 0, failedOn: new Map()
--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -256,7 +256,7 @@
       this.changedJobs.delete(entry)
       this.settle(entry, now, decisions)
       if (!entry.isWaiting || this.ledger.jobs.get(entry.job.identity) !== entry) continue
-      if (entry.mayBePlaced && !this.inventoryComplete(now)) this.uncertain.push(entry)
+      if (entry.mayAlreadyBePlaced && !this.inventoryComplete(now)) this.uncertain.push(entry)
       else this.queue.add(entry)
     }
   }
