--- a/src/scheduling/jobState.ts
+++ b/src/scheduling/jobState.ts
@@ -1,6 +1,6 @@
 import type { Job, JobState } from '../contracts/jobs.js'
 import { urgencyRank } from '../contracts/siteText.js'
-import type { TeamUse } from './teamShares.js'
+import type { TeamUsage } from './teamShares.js'
 import type { Attempt } from '../contracts/workerProtocol.js'
 
 export type TaskPhase = 'waiting' | 'starting' | 'running' | 'stopping' | 'finished'
@@ -45,7 +45,7 @@
    * @param order Place in the order of acceptance.
    * @param mayAlreadyBePlaced Whether an earlier owner may have placed tasks, so that placing waits for the inventory of every worker.
    */
-  constructor (readonly job: Job, readonly addedAt: number, readonly order: number, readonly mayAlreadyBePlaced: boolean, private readonly use: TeamUse) {
+  constructor (readonly job: Job, readonly addedAt: number, readonly order: number, readonly mayAlreadyBePlaced: boolean, private readonly use: TeamUsage) {
     this.rank = urgencyRank(job.urgency)
     this.tasks = Array.from({ length: job.tasks }, (_, index): TaskEntry => ({
       job: this, task: taskName(job.identity, index), index, phase: 'waiting', attempt: undefined, worker: undefined, holdCount: 0, checkpointMilliseconds: 0, startedAt: addedAt, preemptedAt: -Infinity, failures: 0, failedOn: new Map()
--- a/src/scheduling/teamShares.ts
+++ b/src/scheduling/teamShares.ts
@@ -1,7 +1,7 @@
 import { addResources, NO_RESOURCES, subtractResources, type Resources } from '../contracts/resources.js'
 
 /** What the tasks of a team hold at present. */
-export class TeamUse {
+export class TeamUsage {
   used = NO_RESOURCES
 
   change (resources: Resources, sign: 1 | -1): void {
@@ -11,17 +11,17 @@
 
 /** Quotas of teams and what they use. A team may use more than its quota while others leave theirs. */
 export class TeamShares {
-  private readonly uses = new Map<string, TeamUse>()
+  private readonly uses = new Map<string, TeamUsage>()
   private quotas: Readonly<Record<string, { quota: Resources }>> = {}
 
   setQuotas (quotas: Readonly<Record<string, { quota: Resources }>>): void {
     this.quotas = quotas
   }
 
-  useOf (team: string): TeamUse {
+  useOf (team: string): TeamUsage {
     let use = this.uses.get(team)
     if (use === undefined) {
-      use = new TeamUse()
+      use = new TeamUsage()
       this.uses.set(team, use)
     }
     return use
