--- a/src/scheduling/taskLedger.ts
+++ b/src/scheduling/taskLedger.ts
@@ -63,7 +63,7 @@
 
   addJob (job: Job, now: number, mayBePlaced: boolean): JobEntry | undefined {
     if (this.jobs.has(job.identity)) return undefined
-    const added = new JobEntry(job, now, ++this.order, mayBePlaced, this.teams.useOf(job.team))
+    const added = new JobEntry(job, now, ++this.order, mayBePlaced, this.teams.usageOf(job.team))
     this.jobs.set(job.identity, added)
     for (const entry of this.orphans.get(job.identity) ?? []) this.adoptOrphans(entry, added, now)
     this.orphans.delete(job.identity)
--- a/src/scheduling/teamShares.ts
+++ b/src/scheduling/teamShares.ts
@@ -18,7 +18,7 @@
     this.quotas = quotas
   }
 
-  useOf (team: string): TeamUsage {
+  usageOf (team: string): TeamUsage {
     let use = this.uses.get(team)
     if (use === undefined) {
       use = new TeamUsage()
@@ -29,7 +29,7 @@
 
   /** Greatest share of its quota that a team uses over the three resources; 1 is the whole quota. */
   dominantShare (team: string): number {
-    const { used } = this.useOf(team)
+    const { used } = this.usageOf(team)
     const quota = this.quotas[team]?.quota ?? NO_RESOURCES
     return Math.max(share(used.processorsThousandths, quota.processorsThousandths), share(used.memoryBytes, quota.memoryBytes), share(used.accelerators, quota.accelerators))
   }
