--- a/src/scheduling/jobState.ts
+++ b/src/scheduling/jobState.ts
@@ -65,7 +65,7 @@
   changeHoldCount (task: TaskEntry, change: 1 | -1): void {
     task.holdCount += change
     this.holdCount += change
-    this.use.change(this.job.resources, change)
+    this.use.adjust(this.job.resources, change)
     this.notePlaceable(task)
   }
 
@@ -77,7 +77,7 @@
 
   /** Takes what is still held out of the team's use when the job is forgotten. */
   releaseTeamUsage (): void {
-    for (let place = 0; place < this.holdCount; place += 1) this.use.change(this.job.resources, -1)
+    for (let place = 0; place < this.holdCount; place += 1) this.use.adjust(this.job.resources, -1)
   }
 
   get state (): JobState {
--- a/src/scheduling/teamShares.ts
+++ b/src/scheduling/teamShares.ts
@@ -4,7 +4,7 @@
 export class TeamUsage {
   used = NO_RESOURCES
 
-  change (resources: Resources, sign: 1 | -1): void {
+  adjust (resources: Resources, sign: 1 | -1): void {
     this.used = sign === 1 ? addResources(this.used, resources) : subtractResources(this.used, resources)
   }
 }
