--- a/src/scheduling/jobQueue.ts
+++ b/src/scheduling/jobQueue.ts
@@ -63,7 +63,7 @@
   }
 
   /** Notes that a worker has more free resources than before. */
-  noteGrowth (entry: WorkerEntry): void {
+  noteCapacityIncrease (entry: WorkerEntry): void {
     this.grown.add(entry)
   }
 
--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -50,7 +50,7 @@
   private readonly heat = new ThermalLimit(task => this.ledger.findTask(task))
   /** Processors that batch work and gangs may start in this decision, in thousandths. */
   private heatRoom = Infinity
-  private readonly claims = new CapacityReservations(entry => this.queue.noteGrowth(entry))
+  private readonly claims = new CapacityReservations(entry => this.queue.noteCapacityIncrease(entry))
   private readonly urgentRoom = new UrgentReservationPlanner(this.claims, new PreemptionPlanner(this.claims, task => this.ledger.findTask(task)))
   private readonly gangs = new GangReservationPlanner(this.claims, task => this.ledger.findTask(task))
   /** Waiting deferrable jobs, by the time at which they count as normal. */
@@ -184,7 +184,7 @@
     this.placeWaiting(now, limit, decisions)
     for (const { entry, victims, job } of this.urgentRoom.plan(this.ledger.workers.values(), now)) {
       for (const victim of victims) this.preempt(victim, job.job.identity, now, decisions)
-      this.queue.noteGrowth(entry)
+      this.queue.noteCapacityIncrease(entry)
     }
     return decisions
   }
@@ -223,7 +223,7 @@
     entry.lastFree = present ? free : NO_RESOURCES
     if (entry.avoidUntil !== entry.avoidQueued) this.avoided.push(entry, entry.avoidUntil)
     entry.avoidQueued = entry.avoidUntil
-    if (grown) this.queue.noteGrowth(entry)
+    if (grown) this.queue.noteCapacityIncrease(entry)
   }
 
   onJobChanged (entry: JobEntry): void {
@@ -239,7 +239,7 @@
     const until = this.health.quarantinedUntil(entry)
     if (until !== undefined) this.avoided.push(entry, until)
     if (change !== undefined) this.lost.push(change)
-    if (change?.kind === 'workerReleased') this.queue.noteGrowth(entry)
+    if (change?.kind === 'workerReleased') this.queue.noteCapacityIncrease(entry)
     if (task.failedOn.size < WORKERS_BEFORE_JOB_FAILS && task.failures < ATTEMPTS_BEFORE_JOB_FAILS) return
     task.job.failure = `task ${task.index} failed in ${task.failures} attempts on ${task.failedOn.size} workers`
   }
@@ -262,7 +262,7 @@
   }
 
   private placeWaiting (now: number, limit: number, decisions: SchedulingDecision[]): void {
-    while ((this.avoided.peekValue() ?? Infinity) <= now) this.queue.noteGrowth(this.avoided.pop() as WorkerEntry)
+    while ((this.avoided.peekValue() ?? Infinity) <= now) this.queue.noteCapacityIncrease(this.avoided.pop() as WorkerEntry)
     this.queue.wake()
     let starts = 0
     let failedTries = 0
