--- a/src/scheduling/jobQueue.ts
+++ b/src/scheduling/jobQueue.ts
@@ -68,7 +68,7 @@
   }
 
   /** Makes sizes ready that fit on a worker that has grown. */
-  wake (): void {
+  unparkFitting (): void {
     if (this.grown.size === 0) return
     this.candidates = [...this.grown]
     const front = undominated(this.candidates)
--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -263,7 +263,7 @@
 
   private placeWaiting (now: number, limit: number, decisions: SchedulingDecision[]): void {
     while ((this.avoided.peekValue() ?? Infinity) <= now) this.queue.noteCapacityIncrease(this.avoided.pop() as WorkerEntry)
-    this.queue.wake()
+    this.queue.unparkFitting()
     let starts = 0
     let failedTries = 0
     while (starts < limit && failedTries < FAILED_TRIES_PER_DECISION) {
