--- a/src/scheduling/jobQueue.ts
+++ b/src/scheduling/jobQueue.ts
@@ -122,7 +122,7 @@
   }
 
   /** Sets the size of a group's tasks aside until `wakeHeld`, whatever is free. */
-  hold (group: JobGroup): void {
+  suspend (group: JobGroup): void {
     group.shape.parked = true
     this.held.push(group.shape)
   }
--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -275,7 +275,7 @@
       const { job, group, candidates } = next
       const { processorsThousandths } = job.job.resources
       if (this.tasksInHeatRoom(job) < (job.job.kind === 'gang' ? job.placeable.size : 1)) {
-        this.queue.hold(group)
+        this.queue.suspend(group)
         continue
       }
       const wanted = job.job.kind === 'gang' ? job.placeable.size : Math.min(job.placeable.size, TASKS_PER_TURN, limit - starts, this.tasksInHeatRoom(job))
