--- a/src/scheduling/jobQueue.ts
+++ b/src/scheduling/jobQueue.ts
@@ -128,7 +128,7 @@
   }
 
   /** Makes all sizes ready that were set aside by `hold`. */
-  wakeHeld (): void {
+  resumeSuspended (): void {
     for (const shape of this.held) {
       shape.parked = false
       for (const group of shape.groups) this.makeReady(group)
--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -330,7 +330,7 @@
   private applyHeat (now: number, decisions: SchedulingDecision[]): void {
     const plan: ThermalPlan = this.heat.plan(this.ledger.workers.values(), now)
     this.heatRoom = plan.headroomThousandths
-    if (this.heatRoom > 0) this.queue.wakeHeld()
+    if (this.heatRoom > 0) this.queue.resumeSuspended()
     for (const task of plan.checkpoint) this.preempt(task, 'the allowed capacity', now, decisions)
     for (const task of plan.throttle) this.throttle(task, THROTTLE_PERCENT, decisions)
     for (const task of plan.restore) this.throttle(task, 100, decisions)
