--- a/src/scheduling/taskLedger.ts
+++ b/src/scheduling/taskLedger.ts
@@ -246,7 +246,7 @@
       this.workers.set(description.name, entry)
       this.unreported += 1
     }
-    if (entry.list(description, leaving) || known === undefined) this.observer.onWorkerChanged(entry)
+    if (entry.applyListing(description, leaving) || known === undefined) this.observer.onWorkerChanged(entry)
   }
 
   private onReportedTask (entry: WorkerEntry, reported: ReportedTask, now: number): void {
--- a/src/scheduling/workerEntry.ts
+++ b/src/scheduling/workerEntry.ts
@@ -28,7 +28,7 @@
   }
 
   /** Takes over what the list of workers says. Returns whether anything has changed. */
-  list (description: WorkerDescription, leaving: boolean): boolean {
+  applyListing (description: WorkerDescription, leaving: boolean): boolean {
     const { worker } = this
     if (this.listed && worker.leaving === leaving && sameDescription(worker.description, description)) return false
     this.listed = true
