--- a/src/scheduling/preemptionPlanner.ts
+++ b/src/scheduling/preemptionPlanner.ts
@@ -31,7 +31,7 @@
     const count = Math.min(workers.length, WORKERS_PER_SEARCH)
     for (let index = 0; index < count; index += 1) {
       const entry = workers[(this.position + index) % workers.length] as WorkerEntry
-      if (!entry.usable(now) || !fitsWithin(job.job.resources, entry.worker.description.capacity)) continue
+      if (!entry.acceptsStarts(now) || !fitsWithin(job.job.resources, entry.worker.description.capacity)) continue
       const found = this.victimsOn(entry, job, taken, now)
       if (found === undefined || found.cost >= bestCost) continue
       best = { entry, victims: found.victims }
--- a/src/scheduling/workerEntry.ts
+++ b/src/scheduling/workerEntry.ts
@@ -43,7 +43,7 @@
   }
 
   /** Whether tasks may be started on it at `now`. */
-  usable (now: number): boolean {
+  acceptsStarts (now: number): boolean {
     return this.present && now >= this.avoidUntil
   }
 }
