--- a/src/scheduling/capacityReservations.ts
+++ b/src/scheduling/capacityReservations.ts
@@ -66,7 +66,7 @@
   expire (now: number): void {
     for (const job of this.byJob.keys()) {
       if (!job.isWaiting) this.releaseAll(job)
-      else this.dropWhere(job, claim => claim.expiresAt <= now || !claim.entry.present)
+      else this.dropWhere(job, claim => claim.expiresAt <= now || !claim.entry.schedulable)
     }
   }
 
--- a/src/scheduling/explain.ts
+++ b/src/scheduling/explain.ts
@@ -36,7 +36,7 @@
 function reasons (job: JobEntry, sources: ExplainSources, now: number): string[] {
   const { ledger, claims, health, heat, teams, gangs, heatRoom } = sources
   const demand = job.job.resources
-  const present = [...ledger.workers.values()].filter(entry => entry.present)
+  const present = [...ledger.workers.values()].filter(entry => entry.schedulable)
   const able = present.filter(entry => fitsWithin(demand, entry.worker.description.capacity))
   const lines = [`each task needs ${describeResources(demand)}; team ${job.job.team} uses ${formatShare(teams.dominantShare(job.job.team))} of its quota, and teams that use less go first`]
   const couldRun = able.reduce((sum, entry) => sum + tasksThatFit(demand, entry.worker.description.capacity), 0)
--- a/src/scheduling/gangReservationPlanner.ts
+++ b/src/scheduling/gangReservationPlanner.ts
@@ -78,7 +78,7 @@
     const demand = job.job.resources
     const choices: Array<{ entry: WorkerEntry, tasks: number, freeTasks: number }> = []
     for (const entry of workers) {
-      if (!entry.present) continue
+      if (!entry.schedulable) continue
       const kept = this.claims.onWorker(entry).reduce((sum, claim) => addResources(sum, claim.resources), this.heldByServices(entry))
       const tasks = tasksThatFit(demand, subtractResources(entry.worker.description.capacity, kept))
       if (tasks > 0) choices.push({ entry, tasks, freeTasks: tasksThatFit(demand, entry.worker.free) })
--- a/src/scheduling/jobQueue.ts
+++ b/src/scheduling/jobQueue.ts
@@ -179,7 +179,7 @@
 /** Free resources that are not covered by those of another worker. */
 function undominated (entries: readonly WorkerEntry[]): Resources[] {
   const front: Resources[] = []
-  for (const { present, worker: { free } } of entries) {
+  for (const { schedulable: present, worker: { free } } of entries) {
     if (!present || front.some(other => fitsWithin(free, other))) continue
     for (let index = front.length - 1; index >= 0; index -= 1) {
       if (fitsWithin(front[index] as Resources, free)) front.splice(index, 1)
--- a/src/scheduling/placementPolicy.ts
+++ b/src/scheduling/placementPolicy.ts
@@ -43,7 +43,7 @@
   let best: WorkerEntry | undefined
   let bestScore = Infinity
   for (const entry of workers) {
-    if (!fitsWithin(demand, entry.worker.free) || !entry.present || !accept(entry)) continue
+    if (!fitsWithin(demand, entry.worker.free) || !entry.schedulable || !accept(entry)) continue
     const score = leftOver(demand, entry)
     if (score >= bestScore) continue
     best = entry
--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -217,7 +217,7 @@
   }
 
   onWorkerChanged (entry: WorkerEntry): void {
-    const { present, worker: { free }, lastFree } = entry
+    const { schedulable: present, worker: { free }, lastFree } = entry
     this.policy.onWorkerChanged(entry, present)
     const grown = present && !this.undoing && !fitsWithin(free, lastFree)
     entry.lastFree = present ? free : NO_RESOURCES
--- a/src/scheduling/thermalLimit.ts
+++ b/src/scheduling/thermalLimit.ts
@@ -46,7 +46,7 @@
     let capacity = 0
     let used = 0
     const deferrable: TaskEntry[] = []
-    for (const { worker, present } of workers) {
+    for (const { worker, schedulable: present } of workers) {
       if (present) capacity += worker.description.capacity.processorsThousandths
       for (const hold of worker.held) {
         if (hold.state === 'stopping') continue
--- a/src/scheduling/workerEntry.ts
+++ b/src/scheduling/workerEntry.ts
@@ -38,12 +38,12 @@
   }
 
   /** Whether it takes part in placing at all. */
-  get present (): boolean {
+  get schedulable (): boolean {
     return this.reportedAt !== undefined && this.listed && !this.worker.leaving
   }
 
   /** Whether tasks may be started on it at `now`. */
   acceptsStarts (now: number): boolean {
-    return this.present && now >= this.avoidUntil
+    return this.schedulable && now >= this.avoidUntil
   }
 }
