--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -221,8 +221,8 @@
     this.policy.onWorkerChanged(entry, present)
     const grown = present && !this.undoing && !fitsWithin(free, lastFree)
     entry.lastFree = present ? free : NO_RESOURCES
-    if (entry.avoidUntil !== entry.avoidQueued) this.avoided.push(entry, entry.avoidUntil)
-    entry.avoidQueued = entry.avoidUntil
+    if (entry.avoidUntil !== entry.avoidQueuedUntil) this.avoided.push(entry, entry.avoidUntil)
+    entry.avoidQueuedUntil = entry.avoidUntil
     if (grown) this.queue.noteCapacityIncrease(entry)
   }
 
--- a/src/scheduling/workerEntry.ts
+++ b/src/scheduling/workerEntry.ts
@@ -11,7 +11,7 @@
   reportRequestedAt = -Infinity
   /** The worker is not used for starts before this time. */
   avoidUntil = -Infinity
-  avoidQueued = -Infinity
+  avoidQueuedUntil = -Infinity
   listed = true
   /** Class of its free resources in the index of workers, and its position there; -1 outside the index. */
   indexCell = -1
