--- a/src/scheduling/taskLedger.ts
+++ b/src/scheduling/taskLedger.ts
@@ -179,9 +179,9 @@
       if (hold.confirmedAt === undefined) this.repeatStart(entry, hold, now, requestedAt)
       else if (hold.confirmedAt < requestedAt) this.lose(entry, hold)
     }
-    for (const [task, attempt] of entry.acknowledge) {
+    for (const [task, attempt] of entry.pendingAcknowledgements) {
       const reported = listed.get(task)
-      if (reported === undefined || compareAttempts(reported, attempt) !== 0) entry.acknowledge.delete(task)
+      if (reported === undefined || compareAttempts(reported, attempt) !== 0) entry.pendingAcknowledgements.delete(task)
     }
     if (first) this.observer.onWorkerChanged(entry)
   }
@@ -210,7 +210,7 @@
     for (const [job, places] of this.orphans) {
       for (const entry of places) {
         for (const [task, reported] of entry.endedOrphans) {
-          if (jobOfTask(task) === job) entry.acknowledge.set(task, reported.attempt)
+          if (jobOfTask(task) === job) entry.pendingAcknowledgements.set(task, reported.attempt)
         }
         for (const hold of entry.worker.held) {
           if (hold.job === job) this.beginStop(entry, hold, now)
@@ -291,12 +291,12 @@
       this.noteOrphan(jobOfTask(reported.task), entry)
       return
     }
-    const acknowledged = entry.acknowledge.get(reported.task)
+    const acknowledged = entry.pendingAcknowledgements.get(reported.task)
     const seen = acknowledged !== undefined && compareAttempts(acknowledged, reported.attempt) === 0
     if (reported.state === 'finished') {
       this.onFinished(entry, task, reported, now)
     } else {
-      entry.acknowledge.set(reported.task, reported.attempt)
+      entry.pendingAcknowledgements.set(reported.task, reported.attempt)
       if (reported.state === 'failed' && !seen) this.observer.onTaskEnded(entry, task, 'failed', now)
     }
     if (hold !== undefined) this.release(entry, hold)
@@ -306,7 +306,7 @@
   /** The report of a finished task stays at its worker until the log tells of it, for an owner that comes later. */
   private onFinished (entry: WorkerEntry, task: TaskEntry, reported: ReportedTask, now: number): void {
     if (task.phase === 'finished') {
-      if (task.attempt === undefined || compareAttempts(task.attempt, reported.attempt) !== 0) entry.acknowledge.set(reported.task, reported.attempt)
+      if (task.attempt === undefined || compareAttempts(task.attempt, reported.attempt) !== 0) entry.pendingAcknowledgements.set(reported.task, reported.attempt)
       return
     }
     if (task.attempt !== undefined && compareAttempts(task.attempt, reported.attempt) !== 0) this.stopCurrent(task, now)
@@ -321,7 +321,7 @@
 
   private acknowledgeFinished (task: TaskEntry): void {
     if (task.worker === undefined || task.attempt === undefined) return
-    this.workers.get(task.worker)?.acknowledge.set(task.task, task.attempt)
+    this.workers.get(task.worker)?.pendingAcknowledgements.set(task.task, task.attempt)
     task.worker = undefined
     task.attempt = undefined
   }
--- a/src/scheduling/workerEntry.ts
+++ b/src/scheduling/workerEntry.ts
@@ -19,7 +19,7 @@
   /** Free resources when they were last looked at, to tell growth. */
   lastFree = NO_RESOURCES
   /** Ended attempts that the worker may forget. */
-  readonly acknowledge = new Map<string, Attempt>()
+  readonly pendingAcknowledgements = new Map<string, Attempt>()
   /** Ended attempts of jobs that are not known here, or not yet. */
   readonly endedOrphans = new Map<string, ReportedTask>()
 
--- a/test/fuzz/faults.ts
+++ b/test/fuzz/faults.ts
@@ -206,7 +206,7 @@
       plant: replace(TaskLedger, 'onReportedTask', (original, _self, entry, reported, now) => {
         original(entry, reported, now)
         const { task, attempt, state } = reported as { task: string, attempt: unknown, state: string }
-        if (state === 'finished') (entry as { acknowledge: Map<string, unknown> }).acknowledge.set(task, attempt)
+        if (state === 'finished') (entry as { pendingAcknowledgements: Map<string, unknown> }).pendingAcknowledgements.set(task, attempt)
       })
     }
   }
