--- a/src/scheduling/placementPolicy.ts
+++ b/src/scheduling/placementPolicy.ts
@@ -34,12 +34,12 @@
   }
 
   override choose (demand: Resources, accept: (entry: WorkerEntry) => boolean): WorkerEntry | undefined {
-    return bestOf(demand, this.workers, accept)
+    return bestFit(demand, this.workers, accept)
   }
 }
 
 /** The accepted worker with room for the demand that has the least left over, or undefined if there is none. */
-export function bestOf (demand: Resources, workers: Iterable<WorkerEntry>, accept: (entry: WorkerEntry) => boolean): WorkerEntry | undefined {
+export function bestFit (demand: Resources, workers: Iterable<WorkerEntry>, accept: (entry: WorkerEntry) => boolean): WorkerEntry | undefined {
   let best: WorkerEntry | undefined
   let bestScore = Infinity
   for (const entry of workers) {
--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -10,7 +10,7 @@
 import { ThermalLimit, isExemptFromThermalLimit, THROTTLE_PERCENT, type ThermalPlan } from './thermalLimit.js'
 import { JobQueue } from './jobQueue.js'
 import type { JobEntry, TaskEntry } from './jobState.js'
-import { bestOf, type PlacementPolicy } from './placementPolicy.js'
+import { bestFit, type PlacementPolicy } from './placementPolicy.js'
 import type { LedgerObserver, StartOutcome } from './ledgerObserver.js'
 import { PreemptionPlanner } from './preemptionPlanner.js'
 import { TeamShares } from './teamShares.js'
@@ -317,7 +317,7 @@
   /** Chooses a worker; for a service one of the racks with the fewest of its tasks, if such a rack has room. */
   private chooseFor (job: JobEntry, candidates: readonly WorkerEntry[] | undefined, accept: (entry: WorkerEntry) => boolean): WorkerEntry | undefined {
     const { resources, kind } = job.job
-    const choose = (accepted: typeof accept): WorkerEntry | undefined => candidates === undefined ? this.policy.choose(resources, accepted) : bestOf(resources, candidates, accepted)
+    const choose = (accepted: typeof accept): WorkerEntry | undefined => candidates === undefined ? this.policy.choose(resources, accepted) : bestFit(resources, candidates, accepted)
     if (kind !== 'service') return choose(accept)
     return chooseSpread(job, worker => this.ledger.workers.get(worker)?.worker.description.rack, accepts => choose(entry => accepts(entry) && accept(entry)))
   }
