--- a/src/scheduling/placementPolicy.ts
+++ b/src/scheduling/placementPolicy.ts
@@ -1,5 +1,5 @@
 import { fitsWithin, type Resources } from '../contracts/resources.js'
-import { leftOver, WorkerIndex } from './workerIndex.js'
+import { leftoverScore, WorkerIndex } from './workerIndex.js'
 import type { WorkerEntry } from './workerEntry.js'
 
 /** Chooses a worker for a task. */
@@ -44,7 +44,7 @@
   let bestScore = Infinity
   for (const entry of workers) {
     if (!fitsWithin(demand, entry.worker.free) || !entry.schedulable || !accept(entry)) continue
-    const score = leftOver(demand, entry)
+    const score = leftoverScore(demand, entry)
     if (score >= bestScore) continue
     best = entry
     bestScore = score
--- a/src/scheduling/workerIndex.ts
+++ b/src/scheduling/workerIndex.ts
@@ -118,7 +118,7 @@
       const entry = workers[index] as WorkerEntry
       if (!fitsWithin(this.demand, entry.worker.free) || !this.accept(entry)) continue
       this.found += 1
-      const score = leftOver(this.demand, entry)
+      const score = leftoverScore(this.demand, entry)
       if (score < this.bestScore) {
         this.best = entry
         this.bestScore = score
@@ -130,7 +130,7 @@
 }
 
 /** Share of a worker that a demand leaves free; accelerators that the demand has no use for count most. */
-export function leftOver (demand: Resources, entry: WorkerEntry): number {
+export function leftoverScore (demand: Resources, entry: WorkerEntry): number {
   const { free, description: { capacity } } = entry.worker
   const processors = (free.processorsThousandths - demand.processorsThousandths) / Math.max(1, capacity.processorsThousandths)
   const memory = (free.memoryBytes - demand.memoryBytes) / Math.max(1, capacity.memoryBytes)
