--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -14,7 +14,7 @@
 import type { LedgerObserver, StartOutcome } from './ledgerObserver.js'
 import { PreemptionPlanner } from './preemptionPlanner.js'
 import { TeamShares } from './teamShares.js'
-import { chooseSpread } from './rackSpread.js'
+import { chooseSpreadOverRacks } from './rackSpread.js'
 import { UrgentReservationPlanner } from './urgentReservationPlanner.js'
 import { WorkerHealth } from './workerHealth.js'
 import { TaskLedger } from './taskLedger.js'
@@ -319,7 +319,7 @@
     const { resources, kind } = job.job
     const choose = (accepted: typeof accept): WorkerEntry | undefined => candidates === undefined ? this.policy.choose(resources, accepted) : bestFit(resources, candidates, accepted)
     if (kind !== 'service') return choose(accept)
-    return chooseSpread(job, worker => this.ledger.workers.get(worker)?.worker.description.rack, accepts => choose(entry => accepts(entry) && accept(entry)))
+    return chooseSpreadOverRacks(job, worker => this.ledger.workers.get(worker)?.worker.description.rack, accepts => choose(entry => accepts(entry) && accept(entry)))
   }
 
   private tasksInHeatRoom (job: JobEntry): number {
