--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -360,7 +360,7 @@
   }
 
   private startDecision (task: TaskEntry, entry: WorkerEntry, attempt: Attempt): SchedulingDecision {
-    this.ledger.noteStart(entry, attempt)
+    this.ledger.trackStart(entry, attempt)
     return { kind: 'start', worker: entry.worker.description, task: task.task, attempt, job: task.job.job, taskIndex: task.index, resumeFromMilliseconds: task.checkpointMilliseconds }
   }
 
--- a/src/scheduling/taskLedger.ts
+++ b/src/scheduling/taskLedger.ts
@@ -123,7 +123,7 @@
   }
 
   /** Notes that a start command is on its way. */
-  noteStart (entry: WorkerEntry, attempt: Attempt): void {
+  trackStart (entry: WorkerEntry, attempt: Attempt): void {
     this.startsInFlight.set(attempt.sequence, entry)
   }
 
