--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -148,7 +148,7 @@
         hold.renewedAt = now
         tasks.push({ task: hold.task, attempt: hold.attempt })
       }
-      const acknowledged = [...entry.pendingAcknowledgements].filter(([, attempt]) => !this.ledger.startInFlight(attempt)).map(([task, attempt]) => ({ task, attempt }))
+      const acknowledged = [...entry.pendingAcknowledgements].filter(([, attempt]) => !this.ledger.isStartInFlight(attempt)).map(([task, attempt]) => ({ task, attempt }))
       return { worker: entry.worker.description, tasks, acknowledged }
     })
   }
--- a/src/scheduling/taskLedger.ts
+++ b/src/scheduling/taskLedger.ts
@@ -128,7 +128,7 @@
   }
 
   /** Whether a start command for the attempt has no outcome yet. It is not acknowledged then, or a late command would run it again. */
-  startInFlight (attempt: Attempt): boolean {
+  isStartInFlight (attempt: Attempt): boolean {
     return attempt.term === this.term && this.startsInFlight.has(attempt.sequence)
   }
 
