--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -304,7 +304,7 @@
     }
     if (job.job.kind === 'gang' && placed.length < wanted) {
       this.undoing = true
-      for (const { task } of placed) this.ledger.unplace(task)
+      for (const { task } of placed) this.ledger.undoPlacement(task)
       this.undoing = false
       return []
     }
--- a/src/scheduling/taskLedger.ts
+++ b/src/scheduling/taskLedger.ts
@@ -116,7 +116,7 @@
   }
 
   /** Takes back a placement whose command was not sent. */
-  unplace (task: TaskEntry): void {
+  undoPlacement (task: TaskEntry): void {
     const entry = task.worker === undefined ? undefined : this.workers.get(task.worker)
     const hold = entry?.worker.find(task.task)
     if (entry !== undefined && hold !== undefined) this.release(entry, hold)
