--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -345,7 +345,7 @@
   private preempt (task: TaskEntry, by: string, now: number, decisions: SchedulingDecision[]): void {
     decisions.push({ kind: 'preempted', task: task.task, worker: task.worker ?? '', by })
     task.preemptedAt = now
-    this.ledger.stopCurrent(task, now, task.job.job.checkpointable)
+    this.ledger.stopCurrentAttempt(task, now, task.job.job.checkpointable)
   }
 
   /** Treats deferrable jobs that have waited for long as normal, so that they are not passed over for ever. */
@@ -384,7 +384,7 @@
     }
     if (!entry.cancelled && entry.failure === undefined) return
     if (entry.holdCount > 0) {
-      for (const task of entry.tasks) this.ledger.stopCurrent(task, now)
+      for (const task of entry.tasks) this.ledger.stopCurrentAttempt(task, now)
       return
     }
     if (entry.failure !== undefined) this.endJob(entry, decisions, 'failed', entry.failure)
--- a/src/scheduling/taskLedger.ts
+++ b/src/scheduling/taskLedger.ts
@@ -94,7 +94,7 @@
       this.acknowledgeFinished(task)
       return
     }
-    this.stopCurrent(task, now)
+    this.stopCurrentAttempt(task, now)
     task.job.setPhase(task, 'finished')
     task.attempt = undefined
     task.worker = undefined
@@ -187,7 +187,7 @@
   }
 
   /** Orders the attempt that a task has at present to be stopped; with `checkpoint`, to be checkpointed first. */
-  stopCurrent (task: TaskEntry, now: number, checkpoint = false): void {
+  stopCurrentAttempt (task: TaskEntry, now: number, checkpoint = false): void {
     const entry = task.worker === undefined ? undefined : this.workers.get(task.worker)
     const hold = entry?.worker.find(task.task)
     if (entry === undefined || hold === undefined) return
@@ -272,7 +272,7 @@
       return
     }
     if (!newer) return
-    this.stopCurrent(task, now)
+    this.stopCurrentAttempt(task, now)
     task.attempt = reported.attempt
     task.worker = entry.worker.name
     task.job.setPhase(task, hold.state === 'stopping' ? 'stopping' : 'running')
@@ -309,7 +309,7 @@
       if (task.attempt === undefined || compareAttempts(task.attempt, reported.attempt) !== 0) entry.pendingAcknowledgements.set(reported.task, reported.attempt)
       return
     }
-    if (task.attempt !== undefined && compareAttempts(task.attempt, reported.attempt) !== 0) this.stopCurrent(task, now)
+    if (task.attempt !== undefined && compareAttempts(task.attempt, reported.attempt) !== 0) this.stopCurrentAttempt(task, now)
     task.attempt = reported.attempt
     task.worker = entry.worker.name
     task.job.setPhase(task, 'finished')
