--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -155,7 +155,7 @@
 
   /** Stops attempts of jobs that are not open; to be called only when every accepted job has been added. */
   settleOrphans (now: number): void {
-    this.ledger.settleOrphans(now)
+    this.ledger.resolveOrphans(now)
   }
 
   /** Returns whether every worker's inventory is known or its old tasks have certainly ended. */
--- a/src/scheduling/taskLedger.ts
+++ b/src/scheduling/taskLedger.ts
@@ -206,7 +206,7 @@
   }
 
   /** Stops running attempts of jobs that are not known, and lets workers forget ended ones. To be called only when all open jobs are known. */
-  settleOrphans (now: number): void {
+  resolveOrphans (now: number): void {
     for (const [job, places] of this.orphans) {
       for (const entry of places) {
         for (const [task, reported] of entry.endedOrphans) {
