--- a/src/entry/placementTask.ts
+++ b/src/entry/placementTask.ts
@@ -136,7 +136,7 @@
     scheduler.setAllowedCapacity(text.failureDomains[this.context.settings.failureDomain]?.allowedCapacityPercent ?? 100)
     this.renewLeases(scheduler, listed.length, now)
     if (listed.length === 0) return
-    if (this.jobs.hasCaughtUp && now - this.ownerSince > ORPHAN_GRACE_MILLISECONDS) scheduler.settleOrphans(now)
+    if (this.jobs.hasCaughtUp && now - this.ownerSince > ORPHAN_GRACE_MILLISECONDS) scheduler.resolveOrphans(now)
     for (const decision of scheduler.decide(now, STARTS_PER_TICK)) this.perform(decision)
     if (now - this.progressAt >= PROGRESS_PERIOD_MILLISECONDS) this.recordProgress(scheduler, now)
   }
--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -154,7 +154,7 @@
   }
 
   /** Stops attempts of jobs that are not open; to be called only when every accepted job has been added. */
-  settleOrphans (now: number): void {
+  resolveOrphans (now: number): void {
     this.ledger.resolveOrphans(now)
   }
 
--- a/test/scheduling/taskLedger.test.ts
+++ b/test/scheduling/taskLedger.test.ts
@@ -244,7 +244,7 @@
   ['attempts of jobs that have ended are stopped, and their reports acknowledged', site => {
     site.report('w1', [['gone#0', OLD, 'running']])
     site.report('w2', [['gone#0', OLDER, 'finished']])
-    site.scheduler.settleOrphans(100)
+    site.scheduler.resolveOrphans(100)
     assert.deepEqual(site.decide(100), ['stop gone#0 at w1'])
     assert.deepEqual(site.acknowledged(), ['gone#0 at w2'])
   }, 2, BOUND]
