--- a/src/scheduling/holdTimers.ts
+++ b/src/scheduling/holdTimers.ts
@@ -26,7 +26,7 @@
   }
 
   /** Plans the command that the state of the hold asks for: a stop if it is stopping, a start if it is starting. */
-  planCommand (entry: WorkerEntry, hold: Hold, at: number): void {
+  scheduleCommand (entry: WorkerEntry, hold: Hold, at: number): void {
     this.commands.push({ entry, hold }, at)
   }
 
--- a/src/scheduling/taskLedger.ts
+++ b/src/scheduling/taskLedger.ts
@@ -230,7 +230,7 @@
     if (!stillWanted || hold.uncertainAt === undefined || hold.uncertainAt >= requestedAt) return
     hold.state = 'starting'
     hold.renewedAt = now
-    this.timers.planCommand(entry, hold, now)
+    this.timers.scheduleCommand(entry, hold, now)
   }
 
   private lose (entry: WorkerEntry, hold: Hold): void {
@@ -363,7 +363,7 @@
   private beginStop (entry: WorkerEntry, hold: Hold, now: number): void {
     if (hold.state === 'stopping') return
     hold.state = 'stopping'
-    this.timers.planCommand(entry, hold, now)
+    this.timers.scheduleCommand(entry, hold, now)
     const task = this.findTask(hold.task)
     if (task !== undefined && task.phase !== 'finished' && isCurrent(task, entry, hold)) task.job.setPhase(task, 'stopping')
   }
