--- a/src/scheduling/explain.ts
+++ b/src/scheduling/explain.ts
@@ -12,7 +12,7 @@
 /** What an explanation is drawn from. */
 export interface ExplainSources {
   readonly ledger: TaskLedger
-  readonly claims: CapacityReservations
+  readonly reservations: CapacityReservations
   readonly health: WorkerHealth
   readonly heat: ThermalLimit
   readonly teams: TeamShares
@@ -34,7 +34,7 @@
 }
 
 function reasons (job: JobEntry, sources: ExplainSources, now: number): string[] {
-  const { ledger, claims, health, heat, teams, gangs, heatRoom } = sources
+  const { ledger, reservations: claims, health, heat, teams, gangs, heatRoom } = sources
   const demand = job.job.resources
   const present = [...ledger.workers.values()].filter(entry => entry.schedulable)
   const able = present.filter(entry => fitsWithin(demand, entry.worker.description.capacity))
