--- a/src/scheduling/explain.ts
+++ b/src/scheduling/explain.ts
@@ -14,7 +14,7 @@
   readonly ledger: TaskLedger
   readonly reservations: CapacityReservations
   readonly health: WorkerHealth
-  readonly heat: ThermalLimit
+  readonly thermalLimit: ThermalLimit
   readonly teams: TeamShares
   readonly gangs: GangReservationPlanner
   /** Processors that batch work may still start under the allowed capacity, in thousandths. */
@@ -34,7 +34,7 @@
 }
 
 function reasons (job: JobEntry, sources: ExplainSources, now: number): string[] {
-  const { ledger, reservations: claims, health, heat, teams, gangs, heatRoom } = sources
+  const { ledger, reservations: claims, health, thermalLimit: heat, teams, gangs, heatRoom } = sources
   const demand = job.job.resources
   const present = [...ledger.workers.values()].filter(entry => entry.schedulable)
   const able = present.filter(entry => fitsWithin(demand, entry.worker.description.capacity))
