--- a/src/scheduling/explain.ts
+++ b/src/scheduling/explain.ts
@@ -16,7 +16,7 @@
   readonly health: WorkerHealth
   readonly thermalLimit: ThermalLimit
   readonly teams: TeamShares
-  readonly gangs: GangReservationPlanner
+  readonly gangReservations: GangReservationPlanner
   /** Processors that batch work may still start under the allowed capacity, in thousandths. */
   readonly thermalHeadroomThousandths: number
 }
@@ -34,7 +34,7 @@
 }
 
 function reasons (job: JobEntry, sources: ExplainSources, now: number): string[] {
-  const { ledger, reservations: claims, health, thermalLimit: heat, teams, gangs, thermalHeadroomThousandths: heatRoom } = sources
+  const { ledger, reservations: claims, health, thermalLimit: heat, teams, gangReservations: gangs, thermalHeadroomThousandths: heatRoom } = sources
   const demand = job.job.resources
   const present = [...ledger.workers.values()].filter(entry => entry.schedulable)
   const able = present.filter(entry => fitsWithin(demand, entry.worker.description.capacity))
--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -202,7 +202,7 @@
     const entry = this.ledger.jobs.get(identity)
     if (entry === undefined) return 'the job is not open in this failure domain'
     const { ledger, claims, health, heat, teams, gangs, heatRoom } = this
-    return explainJob(entry, { ledger, reservations: claims, health, thermalLimit: heat, teams, gangs, thermalHeadroomThousandths: heatRoom }, this.inventoryComplete(now), now)
+    return explainJob(entry, { ledger, reservations: claims, health, thermalLimit: heat, teams, gangReservations: gangs, thermalHeadroomThousandths: heatRoom }, this.inventoryComplete(now), now)
   }
 
   /** Resources held and capacity of all workers that are not leaving. */
