--- a/test/scheduling/faults.test.ts
+++ b/test/scheduling/faults.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import { FOUR, Site, size } from './site.js'
+import { FOUR, Site, size } from './simulatedSite.js'
 
 /** Each case guards against a fault of workers, jobs or cooling that spreads, or against a wrong explanation. */
 const CASES: ReadonlyArray<readonly [name: string, run: (site: Site) => void]> = [
