--- a/test/scheduling/faults.test.ts
+++ b/test/scheduling/faults.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import { FOUR, Site, size } from './simulatedSite.js'
+import { FOUR, SimulatedSite, size } from './simulatedSite.js'
 
 /** Each case guards against a fault of workers, jobs or cooling that spreads, or against a wrong explanation. */
-const CASES: ReadonlyArray<readonly [name: string, run: (site: Site) => void]> = [
+const CASES: ReadonlyArray<readonly [name: string, run: (site: SimulatedSite) => void]> = [
   ['a worker that fails everything is quarantined within a few starts, and no job fails for it', site => {
     site.failing = worker => worker === 'w2'
     for (let index = 0; index < 16; index += 1) site.add(`job-${index}`, {})
@@ -95,6 +95,6 @@
 
 describe('Faults and heat', () => {
   for (const [name, run] of CASES) {
-    it(name, () => run(new Site(FOUR)))
+    it(name, () => run(new SimulatedSite(FOUR)))
   }
 })
--- a/test/scheduling/order.test.ts
+++ b/test/scheduling/order.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import { FOUR, Site, size } from './simulatedSite.js'
+import { FOUR, SimulatedSite, size } from './simulatedSite.js'
 
 /** Each case guards against one kind of wrong order, waiting or eviction. */
-const CASES: ReadonlyArray<readonly [name: string, run: (site: Site) => void]> = [
+const CASES: ReadonlyArray<readonly [name: string, run: (site: SimulatedSite) => void]> = [
   ['an urgent job on a full site starts within 6 s and preempts a task that can be checkpointed', site => {
     site.add('plain', { urgency: 'deferrable', tasks: 3, resources: size(4) })
     site.run(60_000)
@@ -111,6 +111,6 @@
 
 describe('Order of placement', () => {
   for (const [name, run] of CASES) {
-    it(name, () => run(new Site(FOUR)))
+    it(name, () => run(new SimulatedSite(FOUR)))
   }
 })
--- a/test/scheduling/simulatedSite.ts
+++ b/test/scheduling/simulatedSite.ts
@@ -12,7 +12,7 @@
 }
 
 /** Workers that carry out every command within one step. `lines` collects what happened, without times. */
-export class Site {
+export class SimulatedSite {
   readonly scheduler = new Scheduler(1, 0, new BestFitPolicy())
   readonly lines: string[] = []
   readonly startedAt = new Map<string, number>()
