--- a/test/scheduling/faults.test.ts
+++ b/test/scheduling/faults.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import { FOUR, SimulatedSite, size } from './simulatedSite.js'
+import { FOUR_WORKERS, SimulatedSite, size } from './simulatedSite.js'
 
 /** Each case guards against a fault of workers, jobs or cooling that spreads, or against a wrong explanation. */
 const CASES: ReadonlyArray<readonly [name: string, run: (site: SimulatedSite) => void]> = [
@@ -95,6 +95,6 @@
 
 describe('Faults and heat', () => {
   for (const [name, run] of CASES) {
-    it(name, () => run(new SimulatedSite(FOUR)))
+    it(name, () => run(new SimulatedSite(FOUR_WORKERS)))
   }
 })
--- a/test/scheduling/order.test.ts
+++ b/test/scheduling/order.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import { FOUR, SimulatedSite, size } from './simulatedSite.js'
+import { FOUR_WORKERS, SimulatedSite, size } from './simulatedSite.js'
 
 /** Each case guards against one kind of wrong order, waiting or eviction. */
 const CASES: ReadonlyArray<readonly [name: string, run: (site: SimulatedSite) => void]> = [
@@ -83,7 +83,7 @@
   ['tasks of a service are spread over racks', site => {
     site.add('front', { kind: 'service', tasks: 2 })
     site.run(1000)
-    const racks = ['front#0', 'front#1'].map(task => FOUR.find(([name]) => name === site.placeOf(task))?.[1])
+    const racks = ['front#0', 'front#1'].map(task => FOUR_WORKERS.find(([name]) => name === site.placeOf(task))?.[1])
     assert.equal(new Set(racks).size, 2)
   }],
   ['teams get equal shares of their quotas, and more while others leave theirs', site => {
@@ -111,6 +111,6 @@
 
 describe('Order of placement', () => {
   for (const [name, run] of CASES) {
-    it(name, () => run(new SimulatedSite(FOUR)))
+    it(name, () => run(new SimulatedSite(FOUR_WORKERS)))
   }
 })
--- a/test/scheduling/simulatedSite.ts
+++ b/test/scheduling/simulatedSite.ts
@@ -88,4 +88,4 @@
 }
 
 /** Two racks of two workers with four processors each. */
-export const FOUR = ['w1', 'w2', 'w3', 'w4'].map((name, index) => [name, `rack-${index >> 1}`, size(4)] as const)
+export const FOUR_WORKERS = ['w1', 'w2', 'w3', 'w4'].map((name, index) => [name, `rack-${index >> 1}`, size(4)] as const)
