--- a/test/scheduling/faults.test.ts
+++ b/test/scheduling/faults.test.ts
@@ -18,11 +18,11 @@
     site.run(10_000)
     site.failing = () => false
     site.run(60_000)
-    for (let index = 0; index < 16; index += 1) assert.notEqual(site.placeOf(`job-${index}#0`), 'w2')
+    for (let index = 0; index < 16; index += 1) assert.notEqual(site.workerOf(`job-${index}#0`), 'w2')
     site.add('probe', { urgency: 'deferrable', tasks: 2 })
     site.run(1000)
-    assert.equal(['probe#0', 'probe#1'].filter(task => site.placeOf(task) === 'w2').length, 1)
-    site.end(site.placeOf('probe#0') === 'w2' ? 'probe#0' : 'probe#1')
+    assert.equal(['probe#0', 'probe#1'].filter(task => site.workerOf(task) === 'w2').length, 1)
+    site.end(site.workerOf('probe#0') === 'w2' ? 'probe#0' : 'probe#1')
     site.run(1000)
     assert.ok(site.lines.includes('workerReleased w2'))
   }],
--- a/test/scheduling/order.test.ts
+++ b/test/scheduling/order.test.ts
@@ -83,7 +83,7 @@
   ['tasks of a service are spread over racks', site => {
     site.add('front', { kind: 'service', tasks: 2 })
     site.run(1000)
-    const racks = ['front#0', 'front#1'].map(task => FOUR_WORKERS.find(([name]) => name === site.placeOf(task))?.[1])
+    const racks = ['front#0', 'front#1'].map(task => FOUR_WORKERS.find(([name]) => name === site.workerOf(task))?.[1])
     assert.equal(new Set(racks).size, 2)
   }],
   ['teams get equal shares of their quotas, and more while others leave theirs', site => {
--- a/test/scheduling/simulatedSite.ts
+++ b/test/scheduling/simulatedSite.ts
@@ -57,12 +57,12 @@
   }
 
   end (task: string, state: TaskState = 'finished'): void {
-    const place = this.placeOf(task)
+    const place = this.workerOf(task)
     const known = this.tasks.get(place)?.get(task)
     if (known !== undefined) this.tasks.get(place)?.set(task, { ...known, state })
   }
 
-  placeOf (task: string): string {
+  workerOf (task: string): string {
     for (const [name, tasks] of this.tasks) {
       if (tasks.get(task)?.state === 'running') return name
     }
