--- a/src/scheduling/capacity.ts
+++ b/src/scheduling/capacity.ts
@@ -2,7 +2,7 @@
 import type { Job } from '../contracts/jobs.js'
 
 /** More tasks than any job has, for demands of nothing. */
-const MANY_TASKS = 1_000_000
+const MAXIMUM_TASK_COUNT = 1_000_000
 
 /** Whether a job of this size could run on the given empty workers. */
 export function couldEverFit (job: Pick<Job, 'kind' | 'tasks' | 'resources'>, capacities: readonly Resources[]): boolean {
@@ -19,5 +19,5 @@
     demand.memoryBytes === 0 ? Infinity : Math.floor(available.memoryBytes / demand.memoryBytes),
     demand.accelerators === 0 ? Infinity : Math.floor(available.accelerators / demand.accelerators)
   ]
-  return Math.min(...counts, MANY_TASKS)
+  return Math.min(...counts, MAXIMUM_TASK_COUNT)
 }
--- a/src/scheduling/capacityReservations.ts
+++ b/src/scheduling/capacityReservations.ts
@@ -32,49 +32,49 @@
     return this.byWorker.get(entry) ?? []
   }
 
-  add (claim: CapacityReservation): void {
-    append(this.byWorker, claim.entry, claim)
-    append(this.byJob, claim.job, claim)
+  add (reservation: CapacityReservation): void {
+    append(this.byWorker, reservation.entry, reservation)
+    append(this.byJob, reservation.job, reservation)
   }
 
   /** Whether the worker has room for one task of the job beside what is kept for others. */
   allows (entry: WorkerEntry, job: JobEntry): boolean {
-    const claims = this.byWorker.get(entry)
-    if (claims === undefined) return true
-    const kept = claims.reduce((sum, claim) => claim.job === job || (claim.openToBackfill && isBackfillJob(job)) ? sum : addResources(sum, claim.resources), NO_RESOURCES)
-    return fitsWithin(job.job.resources, subtractResources(entry.worker.free, kept))
+    const reservations = this.byWorker.get(entry)
+    if (reservations === undefined) return true
+    const reserved = reservations.reduce((sum, reservation) => reservation.job === job || (reservation.openToBackfill && isBackfillJob(job)) ? sum : addResources(sum, reservation.resources), NO_RESOURCES)
+    return fitsWithin(job.job.resources, subtractResources(entry.worker.free, reserved))
   }
 
   /** Drops all claims of a job. */
   releaseAll (job: JobEntry): void {
-    for (const claim of this.forJob(job)) {
-      const rest = this.onWorker(claim.entry).filter(other => other !== claim)
-      if (rest.length === 0) this.byWorker.delete(claim.entry)
-      else this.byWorker.set(claim.entry, rest)
-      this.onReleased(claim.entry)
+    for (const reservation of this.forJob(job)) {
+      const rest = this.onWorker(reservation.entry).filter(other => other !== reservation)
+      if (rest.length === 0) this.byWorker.delete(reservation.entry)
+      else this.byWorker.set(reservation.entry, rest)
+      this.onReleased(reservation.entry)
     }
     this.byJob.delete(job)
   }
 
-  /** Drops one claim of a job on a worker, whose room it has taken. */
+  /** Drops one reservation of a job on a worker, whose room it has taken. */
   consume (job: JobEntry, entry: WorkerEntry): void {
-    const used = this.forJob(job).find(claim => claim.entry === entry)
-    if (used !== undefined) this.dropWhere(job, claim => claim === used)
+    const used = this.forJob(job).find(reservation => reservation.entry === entry)
+    if (used !== undefined) this.releaseWhere(job, reservation => reservation === used)
   }
 
   /** Drops what has not been used in time, and claims of jobs that no longer wait. */
   expire (now: number): void {
     for (const job of this.byJob.keys()) {
       if (!job.isWaiting) this.releaseAll(job)
-      else this.dropWhere(job, claim => claim.expiresAt <= now || !claim.entry.schedulable)
+      else this.releaseWhere(job, reservation => reservation.expiresAt <= now || !reservation.entry.schedulable)
     }
   }
 
-  private dropWhere (job: JobEntry, matches: (claim: CapacityReservation) => boolean): void {
-    const kept = this.forJob(job).filter(claim => !matches(claim))
+  private releaseWhere (job: JobEntry, matches: (reservation: CapacityReservation) => boolean): void {
+    const kept = this.forJob(job).filter(reservation => !matches(reservation))
     if (kept.length === this.forJob(job).length) return
     this.releaseAll(job)
-    for (const claim of kept) this.add(claim)
+    for (const reservation of kept) this.add(reservation)
   }
 }
 
@@ -83,8 +83,8 @@
   return job.job.urgency === 'deferrable' && job.job.checkpointable && job.job.kind === 'batch'
 }
 
-function append<Key> (map: Map<Key, CapacityReservation[]>, key: Key, claim: CapacityReservation): void {
-  const claims = map.get(key)
-  if (claims === undefined) map.set(key, [claim])
-  else claims.push(claim)
+function append<Key> (map: Map<Key, CapacityReservation[]>, key: Key, reservation: CapacityReservation): void {
+  const reservations = map.get(key)
+  if (reservations === undefined) map.set(key, [reservation])
+  else reservations.push(reservation)
 }
--- a/src/scheduling/explain.ts
+++ b/src/scheduling/explain.ts
@@ -34,33 +34,33 @@
 }
 
 function reasons (job: JobEntry, sources: ExplainSources, now: number): string[] {
-  const { ledger, reservations: claims, health, thermalLimit: heat, teams, gangReservations: gangs, thermalHeadroomThousandths: heatRoom } = sources
+  const { ledger, reservations, health, thermalLimit, teams, gangReservations, thermalHeadroomThousandths } = sources
   const demand = job.job.resources
-  const present = [...ledger.workers.values()].filter(entry => entry.schedulable)
-  const able = present.filter(entry => fitsWithin(demand, entry.worker.description.capacity))
+  const schedulable = [...ledger.workers.values()].filter(entry => entry.schedulable)
+  const largeEnough = schedulable.filter(entry => fitsWithin(demand, entry.worker.description.capacity))
   const lines = [`each task needs ${describeResources(demand)}; team ${job.job.team} uses ${formatShare(teams.dominantShare(job.job.team))} of its quota, and teams that use less go first`]
-  const couldRun = able.reduce((sum, entry) => sum + tasksThatFit(demand, entry.worker.description.capacity), 0)
-  if (couldRun < (job.job.kind === 'gang' ? job.job.tasks : 1)) {
-    lines.push(`cannot run: the ${present.length} workers that answer could carry ${couldRun} of its tasks at once if they were empty; workers must be added or come back, or the job must be submitted smaller`)
+  const tasksWhenEmpty = largeEnough.reduce((sum, entry) => sum + tasksThatFit(demand, entry.worker.description.capacity), 0)
+  if (tasksWhenEmpty < (job.job.kind === 'gang' ? job.job.tasks : 1)) {
+    lines.push(`cannot run: the ${schedulable.length} workers that answer could carry ${tasksWhenEmpty} of its tasks at once if they were empty; workers must be added or come back, or the job must be submitted smaller`)
     return lines
   }
-  if (!isExemptFromThermalLimit(job) && heatRoom < demand.processorsThousandths) lines.push(`heat: ${heat.effectivePercent.toFixed(0)} % of the capacity is allowed and in use; it is placed when the share rises or tasks end`)
-  const withRoom = able.filter(entry => fitsWithin(demand, entry.worker.free))
-  const unhealthy = able.filter(entry => !health.accepts(entry, job, now))
-  const kept = withRoom.filter(entry => !claims.allows(entry, job))
+  if (!isExemptFromThermalLimit(job) && thermalHeadroomThousandths < demand.processorsThousandths) lines.push(`heat: ${thermalLimit.effectivePercent.toFixed(0)} % of the capacity is allowed and in use; it is placed when the share rises or tasks end`)
+  const withCapacity = largeEnough.filter(entry => fitsWithin(demand, entry.worker.free))
+  const unhealthy = largeEnough.filter(entry => !health.accepts(entry, job, now))
+  const reserved = withCapacity.filter(entry => !reservations.allows(entry, job))
   if (unhealthy.length > 0) lines.push(`quarantine: ${unhealthy.length} workers that are large enough have failed everything lately, among them ${(unhealthy[0] as WorkerEntry).worker.name}; a finished probe releases them`)
-  if (kept.length > 0) lines.push(`${kept.length} workers have room that is kept for a gang or for urgent work`)
+  if (reserved.length > 0) lines.push(`${reserved.length} workers have room that is kept for a gang or for urgent work`)
   if (job.job.kind === 'gang') {
-    const fitting = withRoom.reduce((sum, entry) => sum + tasksThatFit(demand, entry.worker.free), 0)
-    lines.push(`gang: ${fitting} of ${job.placeable.size} tasks would fit now, and all must; ${gangs.current === job ? 'room is being kept for it' : gangs.current === undefined ? 'no gang has a reservation' : `gang ${gangs.current.job.identity} has the reservation before it`}`)
+    const fitting = withCapacity.reduce((sum, entry) => sum + tasksThatFit(demand, entry.worker.free), 0)
+    lines.push(`gang: ${fitting} of ${job.placeable.size} tasks would fit now, and all must; ${gangReservations.current === job ? 'room is being kept for it' : gangReservations.current === undefined ? 'no gang has a reservation' : `gang ${gangReservations.current.job.identity} has the reservation before it`}`)
   }
-  const nearest = nearestWorker(demand, able)
-  if (withRoom.length > 0) lines.push(`${withRoom.length} workers have room for a task`)
+  const nearest = workerWithLeastLack(demand, largeEnough)
+  if (withCapacity.length > 0) lines.push(`${withCapacity.length} workers have room for a task`)
   else if (nearest !== undefined) lines.push(`no worker has room; the nearest is ${nearest.worker.name}, which lacks ${describeLack(demand, nearest.worker.free)}; tasks that end there would change that`)
   return lines
 }
 
-function nearestWorker (demand: Resources, workers: readonly WorkerEntry[]): WorkerEntry | undefined {
+function workerWithLeastLack (demand: Resources, workers: readonly WorkerEntry[]): WorkerEntry | undefined {
   const lack = ({ worker: { free, description: { capacity } } }: WorkerEntry): number =>
     Math.max(0, demand.processorsThousandths - free.processorsThousandths) / Math.max(1, capacity.processorsThousandths) +
     Math.max(0, demand.memoryBytes - free.memoryBytes) / Math.max(1, capacity.memoryBytes) +
--- a/src/scheduling/gangReservationPlanner.ts
+++ b/src/scheduling/gangReservationPlanner.ts
@@ -17,7 +17,7 @@
   private readonly waiting = new Set<JobEntry>()
   private reserved: JobEntry | undefined
 
-  constructor (private readonly claims: CapacityReservations, private readonly findTask: (task: string) => TaskEntry | undefined) {}
+  constructor (private readonly reservations: CapacityReservations, private readonly findTask: (task: string) => TaskEntry | undefined) {}
 
   /** Notes that a gang did not fit. */
   add (job: JobEntry): void {
@@ -31,21 +31,21 @@
 
   /** Gives up a reservation that has been used or has expired, and makes the next one. */
   update (workers: Iterable<WorkerEntry>, now: number): void {
-    if (this.reserved !== undefined && (!this.reserved.isWaiting || this.claims.forJob(this.reserved).length === 0)) {
-      this.claims.releaseAll(this.reserved)
+    if (this.reserved !== undefined && (!this.reserved.isWaiting || this.reservations.forJob(this.reserved).length === 0)) {
+      this.reservations.releaseAll(this.reserved)
       this.reserved = undefined
     }
     const first = this.firstWaiting(now)
     if (first === undefined || first === this.reserved || (this.reserved !== undefined && this.reserved.rank <= first.rank)) return
-    if (this.reserved !== undefined) this.claims.releaseAll(this.reserved)
+    if (this.reserved !== undefined) this.reservations.releaseAll(this.reserved)
     this.reserved = this.reserve(first, workers, now) ? first : undefined
   }
 
   /** Once all room would be free without backfilling tasks, closes the claims and returns the tasks to preempt. */
   takeBackfill (): TaskEntry[] {
-    const claims = this.reserved === undefined ? [] : this.claims.forJob(this.reserved)
+    const reservations = this.reserved === undefined ? [] : this.reservations.forJob(this.reserved)
     const tasks: TaskEntry[] = []
-    for (const { entry, resources } of claims) {
+    for (const { entry, resources } of reservations) {
       let { free } = entry.worker
       for (const hold of entry.worker.held) {
         if (fitsWithin(resources, free)) break
@@ -56,7 +56,7 @@
       }
       if (!fitsWithin(resources, free)) return []
     }
-    for (const claim of claims) claim.openToBackfill = false
+    for (const reservation of reservations) reservation.openToBackfill = false
     return tasks
   }
 
@@ -79,8 +79,8 @@
     const choices: Array<{ entry: WorkerEntry, tasks: number, freeTasks: number }> = []
     for (const entry of workers) {
       if (!entry.schedulable) continue
-      const kept = this.claims.onWorker(entry).reduce((sum, claim) => addResources(sum, claim.resources), this.heldByServices(entry))
-      const tasks = tasksThatFit(demand, subtractResources(entry.worker.description.capacity, kept))
+      const unavailable = this.reservations.onWorker(entry).reduce((sum, reservation) => addResources(sum, reservation.resources), this.heldByServices(entry))
+      const tasks = tasksThatFit(demand, subtractResources(entry.worker.description.capacity, unavailable))
       if (tasks > 0) choices.push({ entry, tasks, freeTasks: tasksThatFit(demand, entry.worker.free) })
     }
     choices.sort((left, right) => right.freeTasks / right.tasks - left.freeTasks / left.tasks || right.tasks - left.tasks)
@@ -93,7 +93,7 @@
       missing -= taken
     }
     if (missing > 0) return false
-    for (const { entry, tasks } of chosen) this.claims.add({ entry, job, resources: multiplyResources(demand, tasks), expiresAt: now + RESERVATION_MILLISECONDS, openToBackfill: true })
+    for (const { entry, tasks } of chosen) this.reservations.add({ entry, job, resources: multiplyResources(demand, tasks), expiresAt: now + RESERVATION_MILLISECONDS, openToBackfill: true })
     return true
   }
 
--- a/src/scheduling/jobQueue.ts
+++ b/src/scheduling/jobQueue.ts
@@ -5,7 +5,7 @@
 import type { WorkerEntry } from './workerEntry.js'
 
 /** Groups that are made ready in one decision at most; the rest follow in the next ones. */
-const WOKEN_PER_DECISION = 200
+const UNPARKED_GROUPS_PER_DECISION = 200
 
 /** Jobs of one urgency whose tasks have the same size. If the tasks of one do not fit, none do. */
 interface Shape {
@@ -15,7 +15,7 @@
   /** Nothing fits but perhaps on workers that have grown since. */
   parked: boolean
   /** It was parked before, so that only workers that have grown since can fit. */
-  woken: boolean
+  unparked: boolean
 }
 
 /** Waiting jobs of one team and shape, by age. */
@@ -48,10 +48,10 @@
 /** Waiting jobs by urgency, team and age. Sizes that did not fit are set aside until a worker has grown enough for one task. */
 export class JobQueue {
   private readonly classes: readonly UrgencyClass[] = URGENCY_CLASSES.map(() => ({ teams: new Map(), shapes: new Map(), parked: new Set() }))
-  private readonly grown = new Set<WorkerEntry>()
+  private readonly grownWorkers = new Set<WorkerEntry>()
   private candidates: readonly WorkerEntry[] = []
-  private woken: Shape[] = []
-  private held: Shape[] = []
+  private unparkedShapes: Shape[] = []
+  private suspendedShapes: Shape[] = []
 
   /** Adds a job with tasks to place, or does nothing if it is in the queue. */
   add (job: JobEntry): void {
@@ -64,35 +64,35 @@
 
   /** Notes that a worker has more free resources than before. */
   noteCapacityIncrease (entry: WorkerEntry): void {
-    this.grown.add(entry)
+    this.grownWorkers.add(entry)
   }
 
   /** Makes sizes ready that fit on a worker that has grown. */
   unparkFitting (): void {
-    if (this.grown.size === 0) return
-    this.candidates = [...this.grown]
-    const front = undominated(this.candidates)
-    let woken = 0
+    if (this.grownWorkers.size === 0) return
+    this.candidates = [...this.grownWorkers]
+    const front = paretoFront(this.candidates)
+    let unparkedGroups = 0
     for (const { parked } of this.classes) {
       for (const shape of parked) {
         if (!front.some(free => fitsWithin(shape.demand, free))) continue
         shape.parked = false
-        shape.woken = true
-        this.woken.push(shape)
+        shape.unparked = true
+        this.unparkedShapes.push(shape)
         parked.delete(shape)
         for (const group of shape.groups) this.makeReady(group)
-        woken += shape.groups.length
-        if (woken >= WOKEN_PER_DECISION) return
+        unparkedGroups += shape.groups.length
+        if (unparkedGroups >= UNPARKED_GROUPS_PER_DECISION) return
       }
     }
   }
 
   /** Ends a round: every size that fits on a worker that has grown has been tried. */
   endRound (): void {
-    this.grown.clear()
+    this.grownWorkers.clear()
     this.candidates = []
-    for (const shape of this.woken) shape.woken = false
-    this.woken = []
+    for (const shape of this.unparkedShapes) shape.unparked = false
+    this.unparkedShapes = []
   }
 
   /** Returns the job to try next: of the most urgent class, of the team with the least share, the oldest. Undefined if none is ready. */
@@ -124,23 +124,23 @@
   /** Sets the size of a group's tasks aside until `wakeHeld`, whatever is free. */
   suspend (group: JobGroup): void {
     group.shape.parked = true
-    this.held.push(group.shape)
+    this.suspendedShapes.push(group.shape)
   }
 
   /** Makes all sizes ready that were set aside by `hold`. */
   resumeSuspended (): void {
-    for (const shape of this.held) {
+    for (const shape of this.suspendedShapes) {
       shape.parked = false
       for (const group of shape.groups) this.makeReady(group)
     }
-    this.held = []
+    this.suspendedShapes = []
   }
 
   /** Returns the first job of the team that may fit, and drops what was set aside or has nothing to place. */
   private head (team: TeamQueue): NextJob | undefined {
     for (let group = team.ready.peek(); group !== undefined; group = team.ready.peek()) {
       const job = group.shape.parked ? undefined : firstWaiting(group)
-      if (job !== undefined && team.ready.peekValue() === job.order) return { job, group, candidates: group.shape.woken && job.job.kind !== 'gang' ? this.candidates : undefined }
+      if (job !== undefined && team.ready.peekValue() === job.order) return { job, group, candidates: group.shape.unparked && job.job.kind !== 'gang' ? this.candidates : undefined }
       team.ready.pop()
       if (job !== undefined) team.ready.push(group, job.order)
     }
@@ -163,7 +163,7 @@
     const key = `${kind === 'gang' ? tasks : 0} ${resources.processorsThousandths} ${resources.memoryBytes} ${resources.accelerators}`
     let shape = shapes.get(key)
     if (shape === undefined) {
-      shape = { rank: job.rank, demand: resources, groups: [], parked: false, woken: false }
+      shape = { rank: job.rank, demand: resources, groups: [], parked: false, unparked: false }
       shapes.set(key, shape)
     }
     let group = team.groups.get(shape)
@@ -177,10 +177,10 @@
 }
 
 /** Free resources that are not covered by those of another worker. */
-function undominated (entries: readonly WorkerEntry[]): Resources[] {
+function paretoFront (entries: readonly WorkerEntry[]): Resources[] {
   const front: Resources[] = []
-  for (const { schedulable: present, worker: { free } } of entries) {
-    if (!present || front.some(other => fitsWithin(free, other))) continue
+  for (const { schedulable, worker: { free } } of entries) {
+    if (!schedulable || front.some(other => fitsWithin(free, other))) continue
     for (let index = front.length - 1; index >= 0; index -= 1) {
       if (fitsWithin(front[index] as Resources, free)) front.splice(index, 1)
     }
--- a/src/scheduling/jobRegistry.ts
+++ b/src/scheduling/jobRegistry.ts
@@ -15,9 +15,9 @@
 /** Jobs of a failure domain, built from the records of its stream. Ended jobs are kept for a while so that callers can read them. */
 export class JobRegistry {
   private readonly jobs = new Map<string, RegisteredJob>()
-  private readonly ended: string[] = []
+  private readonly endedJobs: string[] = []
 
-  constructor (private readonly keptEndedJobs: number) {}
+  constructor (private readonly maximumEndedJobs: number) {}
 
   /** Applies a record in log order. A re-append of a known job has no further effect. */
   apply (record: StoredRecord): void {
@@ -28,13 +28,13 @@
         this.jobs.set(body.job.identity, { job: body.job, failureDomain: body.failureDomain, cancelRequested: false, finished: new Set(), outcome: undefined, reason: undefined })
         return
       case 'jobCancelRequested': {
-        const booked = this.jobs.get(body.job)
-        if (booked !== undefined && booked.outcome === undefined) booked.cancelRequested = true
+        const registered = this.jobs.get(body.job)
+        if (registered !== undefined && registered.outcome === undefined) registered.cancelRequested = true
         return
       }
       case 'jobProgress': {
-        const booked = this.jobs.get(body.job)
-        for (const index of booked === undefined ? [] : expandIndexRanges(body.finished, booked.job.tasks)) booked?.finished.add(index)
+        const registered = this.jobs.get(body.job)
+        for (const index of registered === undefined ? [] : expandIndexRanges(body.finished, registered.job.tasks)) registered?.finished.add(index)
         return
       }
       case 'jobEnded':
@@ -48,7 +48,7 @@
 
   /** Jobs that have not ended, in order of acceptance. */
   openJobs (): RegisteredJob[] {
-    return [...this.jobs.values()].filter(booked => booked.outcome === undefined)
+    return [...this.jobs.values()].filter(registered => registered.outcome === undefined)
   }
 
   allJobs (): RegisteredJob[] {
@@ -56,13 +56,13 @@
   }
 
   private end (identity: string, outcome: JobOutcome, reason: string | undefined): void {
-    const booked = this.jobs.get(identity)
-    if (booked === undefined || booked.outcome !== undefined) return
-    booked.outcome = outcome
-    booked.reason = reason
-    this.ended.push(identity)
-    if (this.ended.length <= this.keptEndedJobs) return
-    this.jobs.delete(this.ended.shift() as string)
+    const registered = this.jobs.get(identity)
+    if (registered === undefined || registered.outcome !== undefined) return
+    registered.outcome = outcome
+    registered.reason = reason
+    this.endedJobs.push(identity)
+    if (this.endedJobs.length <= this.maximumEndedJobs) return
+    this.jobs.delete(this.endedJobs.shift() as string)
   }
 }
 
--- a/src/scheduling/jobState.ts
+++ b/src/scheduling/jobState.ts
@@ -45,7 +45,7 @@
    * @param order Place in the order of acceptance.
    * @param mayAlreadyBePlaced Whether an earlier owner may have placed tasks, so that placing waits for the inventory of every worker.
    */
-  constructor (readonly job: Job, readonly addedAt: number, readonly order: number, readonly mayAlreadyBePlaced: boolean, private readonly use: TeamUsage) {
+  constructor (readonly job: Job, readonly addedAt: number, readonly order: number, readonly mayAlreadyBePlaced: boolean, private readonly teamUsage: TeamUsage) {
     this.rank = urgencyRank(job.urgency)
     this.tasks = Array.from({ length: job.tasks }, (_, index): TaskEntry => ({
       job: this, task: taskName(job.identity, index), index, phase: 'waiting', attempt: undefined, worker: undefined, holdCount: 0, checkpointMilliseconds: 0, startedAt: addedAt, preemptedAt: -Infinity, failures: 0, failedOn: new Map()
@@ -58,15 +58,15 @@
     this.counts[task.phase] -= 1
     this.counts[phase] += 1
     task.phase = phase
-    this.notePlaceable(task)
+    this.updatePlaceable(task)
   }
 
   /** Notes that one more (1) or one fewer (-1) worker holds an attempt of the task. */
   changeHoldCount (task: TaskEntry, change: 1 | -1): void {
     task.holdCount += change
     this.holdCount += change
-    this.use.adjust(this.job.resources, change)
-    this.notePlaceable(task)
+    this.teamUsage.adjust(this.job.resources, change)
+    this.updatePlaceable(task)
   }
 
   /** Whether it has tasks that may be placed now. */
@@ -77,7 +77,7 @@
 
   /** Takes what is still held out of the team's use when the job is forgotten. */
   releaseTeamUsage (): void {
-    for (let place = 0; place < this.holdCount; place += 1) this.use.adjust(this.job.resources, -1)
+    for (let hold = 0; hold < this.holdCount; hold += 1) this.teamUsage.adjust(this.job.resources, -1)
   }
 
   get state (): JobState {
@@ -85,7 +85,7 @@
     return this.counts.starting > 0 ? 'starting' : 'waiting'
   }
 
-  private notePlaceable (task: TaskEntry): void {
+  private updatePlaceable (task: TaskEntry): void {
     if (task.phase === 'waiting' && task.holdCount === 0) this.placeable.add(task)
     else this.placeable.delete(task)
   }
--- a/src/scheduling/placementPolicy.ts
+++ b/src/scheduling/placementPolicy.ts
@@ -5,7 +5,7 @@
 /** Chooses a worker for a task. */
 export abstract class PlacementPolicy {
   /** Takes note of changed free resources of a worker. One that is not `present` is not chosen until it is again. */
-  abstract onWorkerChanged (entry: WorkerEntry, present: boolean): void
+  abstract onWorkerChanged (entry: WorkerEntry, schedulable: boolean): void
 
   /** Returns an accepted worker on which the demand fits now, or undefined if there is none. */
   abstract choose (demand: Resources, accept: (entry: WorkerEntry) => boolean): WorkerEntry | undefined
@@ -15,8 +15,8 @@
 export class BestFitPolicy extends PlacementPolicy {
   private readonly index = new WorkerIndex()
 
-  override onWorkerChanged (entry: WorkerEntry, present: boolean): void {
-    this.index.update(entry, present)
+  override onWorkerChanged (entry: WorkerEntry, schedulable: boolean): void {
+    this.index.update(entry, schedulable)
   }
 
   override choose (demand: Resources, accept: (entry: WorkerEntry) => boolean): WorkerEntry | undefined {
@@ -28,8 +28,8 @@
 export class FullScanBestFitPolicy extends PlacementPolicy {
   private readonly workers = new Set<WorkerEntry>()
 
-  override onWorkerChanged (entry: WorkerEntry, present: boolean): void {
-    if (present) this.workers.add(entry)
+  override onWorkerChanged (entry: WorkerEntry, schedulable: boolean): void {
+    if (schedulable) this.workers.add(entry)
     else this.workers.delete(entry)
   }
 
--- a/src/scheduling/preemptionPlanner.ts
+++ b/src/scheduling/preemptionPlanner.ts
@@ -20,37 +20,37 @@
 
 /** Finds deferrable tasks to preempt for urgent ones, with the least lost work. Reads a bounded number of workers, in turn. */
 export class PreemptionPlanner {
-  private position = 0
+  private nextWorkerIndex = 0
 
-  constructor (private readonly claims: CapacityReservations, private readonly findTask: (task: string) => TaskEntry | undefined) {}
+  constructor (private readonly reservations: CapacityReservations, private readonly findTask: (task: string) => TaskEntry | undefined) {}
 
-  /** @param taken Tasks that are to be preempted already; what they hold counts as free. */
-  plan (job: JobEntry, workers: readonly WorkerEntry[], taken: ReadonlySet<string>, now: number): PreemptionPlan | undefined {
+  /** @param preempted Tasks that are to be preempted already; what they hold counts as free. */
+  plan (job: JobEntry, workers: readonly WorkerEntry[], preempted: ReadonlySet<string>, now: number): PreemptionPlan | undefined {
     let best: PreemptionPlan | undefined
     let bestCost = Infinity
     const count = Math.min(workers.length, WORKERS_PER_SEARCH)
     for (let index = 0; index < count; index += 1) {
-      const entry = workers[(this.position + index) % workers.length] as WorkerEntry
+      const entry = workers[(this.nextWorkerIndex + index) % workers.length] as WorkerEntry
       if (!entry.acceptsStarts(now) || !fitsWithin(job.job.resources, entry.worker.description.capacity)) continue
-      const found = this.victimsOn(entry, job, taken, now)
+      const found = this.findVictims(entry, job, preempted, now)
       if (found === undefined || found.cost >= bestCost) continue
       best = { entry, victims: found.victims }
       bestCost = found.cost
     }
-    this.position = workers.length === 0 ? 0 : (this.position + count) % workers.length
+    this.nextWorkerIndex = workers.length === 0 ? 0 : (this.nextWorkerIndex + count) % workers.length
     return best
   }
 
-  private victimsOn (entry: WorkerEntry, job: JobEntry, taken: ReadonlySet<string>, now: number): { victims: TaskEntry[], cost: number } | undefined {
-    const kept = this.claims.onWorker(entry).reduce((sum, claim) => addResources(sum, claim.resources), NO_RESOURCES)
-    let free = subtractResources(entry.worker.free, kept)
+  private findVictims (entry: WorkerEntry, job: JobEntry, preempted: ReadonlySet<string>, now: number): { victims: TaskEntry[], cost: number } | undefined {
+    const reserved = this.reservations.onWorker(entry).reduce((sum, reservation) => addResources(sum, reservation.resources), NO_RESOURCES)
+    let free = subtractResources(entry.worker.free, reserved)
     const candidates: Array<{ task: TaskEntry, cost: number, resources: Resources }> = []
     for (const hold of entry.worker.held) {
       const task = this.findTask(hold.task)
-      const leaving = hold.state === 'stopping' || taken.has(hold.task)
-      if (leaving) free = addResources(free, hold.resources)
-      if (leaving || hold.state !== 'running' || task === undefined || task.phase !== 'running' || !isPreemptible(task.job)) continue
-      candidates.push({ task, cost: lostWork(task, now), resources: hold.resources })
+      const beingFreed = hold.state === 'stopping' || preempted.has(hold.task)
+      if (beingFreed) free = addResources(free, hold.resources)
+      if (beingFreed || hold.state !== 'running' || task === undefined || task.phase !== 'running' || !isPreemptible(task.job)) continue
+      candidates.push({ task, cost: lostWorkMilliseconds(task, now), resources: hold.resources })
     }
     candidates.sort((left, right) => left.cost - right.cost)
     const victims: TaskEntry[] = []
@@ -71,8 +71,8 @@
 }
 
 /** Run time that would be lost by preempting a task, in milliseconds, and more for one that was preempted a short while ago. */
-function lostWork (task: TaskEntry, now: number): number {
+function lostWorkMilliseconds (task: TaskEntry, now: number): number {
   const lost = task.job.job.checkpointable ? LOST_AT_CHECKPOINT_MILLISECONDS : now - task.startedAt
-  const preemptedLately = now - task.preemptedAt < PROTECTED_AFTER_PREEMPTION_MILLISECONDS
-  return lost + (preemptedLately ? PROTECTION_COST_MILLISECONDS : 0)
+  const recentlyPreempted = now - task.preemptedAt < PROTECTED_AFTER_PREEMPTION_MILLISECONDS
+  return lost + (recentlyPreempted ? PROTECTION_COST_MILLISECONDS : 0)
 }
--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -25,7 +25,7 @@
 /** Most stops and repeated starts in one decision. */
 const COMMANDS_PER_DECISION = 500
 /** Most changed jobs that one decision looks at, so that a wave of cancellations does not hold up placements. */
-const SETTLED_PER_DECISION = 500
+const CHANGED_JOBS_PER_DECISION = 500
 /** Most groups of jobs that one decision tries in vain. */
 const FAILED_TRIES_PER_DECISION = 200
 /** Most tasks of one job that are placed before another team has its turn. */
@@ -47,23 +47,23 @@
   private readonly queue = new JobQueue()
   private readonly teams = new TeamShares()
   private readonly health = new WorkerHealth()
-  private readonly heat = new ThermalLimit(task => this.ledger.findTask(task))
+  private readonly thermalLimit = new ThermalLimit(task => this.ledger.findTask(task))
   /** Processors that batch work and gangs may start in this decision, in thousandths. */
-  private heatRoom = Infinity
-  private readonly claims = new CapacityReservations(entry => this.queue.noteCapacityIncrease(entry))
-  private readonly urgentRoom = new UrgentReservationPlanner(this.claims, new PreemptionPlanner(this.claims, task => this.ledger.findTask(task)))
-  private readonly gangs = new GangReservationPlanner(this.claims, task => this.ledger.findTask(task))
+  private thermalHeadroomThousandths = Infinity
+  private readonly reservations = new CapacityReservations(entry => this.queue.noteCapacityIncrease(entry))
+  private readonly urgentReservations = new UrgentReservationPlanner(this.reservations, new PreemptionPlanner(this.reservations, task => this.ledger.findTask(task)))
+  private readonly gangReservations = new GangReservationPlanner(this.reservations, task => this.ledger.findTask(task))
   /** Waiting deferrable jobs, by the time at which they count as normal. */
-  private readonly aging = new FlatQueue<JobEntry>()
+  private readonly agingJobs = new FlatQueue<JobEntry>()
   private readonly changedJobs = new Set<JobEntry>()
   /** Jobs that wait for the inventory of every worker. */
-  private readonly uncertain: JobEntry[] = []
+  private readonly awaitingInventory: JobEntry[] = []
   /** Workers that get no starts for a while, by its end. */
-  private readonly avoided = new FlatQueue<WorkerEntry>()
-  private lost: SchedulingDecision[] = []
+  private readonly avoidedWorkers = new FlatQueue<WorkerEntry>()
+  private pendingDecisions: SchedulingDecision[] = []
   private sequence = 0
   /** Whether tentative placements are being taken back, which frees nothing that was not free before. */
-  private undoing = false
+  private undoingPlacements = false
 
   /**
    * @param term Term of the ownership; part of every attempt.
@@ -80,13 +80,13 @@
 
   /**
    * Adds an accepted job; adding it again has no effect.
-   * @param mayBePlaced Whether an earlier owner may have placed its tasks.
+   * @param mayAlreadyBePlaced Whether an earlier owner may have placed its tasks.
    */
-  addJob (job: Job, now: number, mayBePlaced = false): void {
-    const entry = this.ledger.addJob(job, now, mayBePlaced)
+  addJob (job: Job, now: number, mayAlreadyBePlaced = false): void {
+    const entry = this.ledger.addJob(job, now, mayAlreadyBePlaced)
     if (entry === undefined) return
     this.changedJobs.add(entry)
-    if (job.urgency === 'deferrable') this.aging.push(entry, now + AGING_MILLISECONDS)
+    if (job.urgency === 'deferrable') this.agingJobs.push(entry, now + AGING_MILLISECONDS)
   }
 
   /** Takes over the teams' quotas. */
@@ -96,7 +96,7 @@
 
   /** Limits the processors in use to a share of the workers' capacity; urgent work and services are exempt. */
   setAllowedCapacity (percent: number): void {
-    this.heat.setTargetPercent(percent)
+    this.thermalLimit.setTargetPercent(percent)
   }
 
   cancelJob (identity: string): void {
@@ -168,21 +168,21 @@
     if (this.ledger.superseded) return []
     if (now >= this.silentWorkersLapseAt) this.ledger.forgetSilentWorkers()
     this.ledger.releaseLapsed(now)
-    const decisions = this.lost
-    this.lost = []
+    const decisions = this.pendingDecisions
+    this.pendingDecisions = []
     if (this.inventoryComplete(now)) {
-      for (const entry of this.uncertain.splice(0)) this.changedJobs.add(entry)
+      for (const entry of this.awaitingInventory.splice(0)) this.changedJobs.add(entry)
     }
-    this.settleChanged(now, decisions)
-    for (const { entry, hold } of this.ledger.takeCommands(now, COMMANDS_PER_DECISION)) decisions.push(...this.repeat(entry, hold))
-    this.applyHeat(now, decisions)
-    this.claims.expire(now)
-    this.age(now)
-    this.gangs.update(this.ledger.workers.values(), now)
-    const gang = this.gangs.current
-    for (const task of gang === undefined ? [] : this.gangs.takeBackfill()) this.preempt(task, gang?.job.identity ?? '', now, decisions)
+    this.processChangedJobs(now, decisions)
+    for (const { entry, hold } of this.ledger.takeCommands(now, COMMANDS_PER_DECISION)) decisions.push(...this.commandsFor(entry, hold))
+    this.applyThermalLimit(now, decisions)
+    this.reservations.expire(now)
+    this.promoteAgedJobs(now)
+    this.gangReservations.update(this.ledger.workers.values(), now)
+    const gang = this.gangReservations.current
+    for (const task of gang === undefined ? [] : this.gangReservations.takeBackfill()) this.preempt(task, gang?.job.identity ?? '', now, decisions)
     this.placeWaiting(now, limit, decisions)
-    for (const { entry, victims, job } of this.urgentRoom.plan(this.ledger.workers.values(), now)) {
+    for (const { entry, victims, job } of this.urgentReservations.plan(this.ledger.workers.values(), now)) {
       for (const victim of victims) this.preempt(victim, job.job.identity, now, decisions)
       this.queue.noteCapacityIncrease(entry)
     }
@@ -201,8 +201,8 @@
   explain (identity: string, now: number): string {
     const entry = this.ledger.jobs.get(identity)
     if (entry === undefined) return 'the job is not open in this failure domain'
-    const { ledger, claims, health, heat, teams, gangs, heatRoom } = this
-    return explainJob(entry, { ledger, reservations: claims, health, thermalLimit: heat, teams, gangReservations: gangs, thermalHeadroomThousandths: heatRoom }, this.inventoryComplete(now), now)
+    const { ledger, reservations, health, thermalLimit, teams, gangReservations, thermalHeadroomThousandths } = this
+    return explainJob(entry, { ledger, reservations, health, thermalLimit, teams, gangReservations, thermalHeadroomThousandths }, this.inventoryComplete(now), now)
   }
 
   /** Resources held and capacity of all workers that are not leaving. */
@@ -217,13 +217,13 @@
   }
 
   onWorkerChanged (entry: WorkerEntry): void {
-    const { schedulable: present, worker: { free }, lastFree } = entry
-    this.policy.onWorkerChanged(entry, present)
-    const grown = present && !this.undoing && !fitsWithin(free, lastFree)
-    entry.lastFree = present ? free : NO_RESOURCES
-    if (entry.avoidUntil !== entry.avoidQueuedUntil) this.avoided.push(entry, entry.avoidUntil)
+    const { schedulable, worker: { free }, lastFree } = entry
+    this.policy.onWorkerChanged(entry, schedulable)
+    const capacityIncreased = schedulable && !this.undoingPlacements && !fitsWithin(free, lastFree)
+    entry.lastFree = schedulable ? free : NO_RESOURCES
+    if (entry.avoidUntil !== entry.avoidQueuedUntil) this.avoidedWorkers.push(entry, entry.avoidUntil)
     entry.avoidQueuedUntil = entry.avoidUntil
-    if (grown) this.queue.noteCapacityIncrease(entry)
+    if (capacityIncreased) this.queue.noteCapacityIncrease(entry)
   }
 
   onJobChanged (entry: JobEntry): void {
@@ -237,32 +237,32 @@
     }
     const change = state === 'failed' ? this.health.onFailed(entry, task, now) : this.health.onFinished(entry, now)
     const until = this.health.quarantinedUntil(entry)
-    if (until !== undefined) this.avoided.push(entry, until)
-    if (change !== undefined) this.lost.push(change)
+    if (until !== undefined) this.avoidedWorkers.push(entry, until)
+    if (change !== undefined) this.pendingDecisions.push(change)
     if (change?.kind === 'workerReleased') this.queue.noteCapacityIncrease(entry)
     if (task.failedOn.size < WORKERS_BEFORE_JOB_FAILS && task.failures < ATTEMPTS_BEFORE_JOB_FAILS) return
     task.job.failure = `task ${task.index} failed in ${task.failures} attempts on ${task.failedOn.size} workers`
   }
 
   onTaskLost (task: string, worker: string): void {
-    this.lost.push({ kind: 'taskLost', task, worker })
+    this.pendingDecisions.push({ kind: 'taskLost', task, worker })
   }
 
   /** Looks at jobs that have changed: ends them, stops their tasks or queues them. The rest waits for the next decision. */
-  private settleChanged (now: number, decisions: SchedulingDecision[]): void {
-    let settled = 0
+  private processChangedJobs (now: number, decisions: SchedulingDecision[]): void {
+    let processed = 0
     for (const entry of this.changedJobs) {
-      if (++settled > SETTLED_PER_DECISION) return
+      if (++processed > CHANGED_JOBS_PER_DECISION) return
       this.changedJobs.delete(entry)
-      this.settle(entry, now, decisions)
+      this.endOrStopJob(entry, now, decisions)
       if (!entry.isWaiting || this.ledger.jobs.get(entry.job.identity) !== entry) continue
-      if (entry.mayAlreadyBePlaced && !this.inventoryComplete(now)) this.uncertain.push(entry)
+      if (entry.mayAlreadyBePlaced && !this.inventoryComplete(now)) this.awaitingInventory.push(entry)
       else this.queue.add(entry)
     }
   }
 
   private placeWaiting (now: number, limit: number, decisions: SchedulingDecision[]): void {
-    while ((this.avoided.peekValue() ?? Infinity) <= now) this.queue.noteCapacityIncrease(this.avoided.pop() as WorkerEntry)
+    while ((this.avoidedWorkers.peekValue() ?? Infinity) <= now) this.queue.noteCapacityIncrease(this.avoidedWorkers.pop() as WorkerEntry)
     this.queue.unparkFitting()
     let starts = 0
     let failedTries = 0
@@ -274,18 +274,18 @@
       }
       const { job, group, candidates } = next
       const { processorsThousandths } = job.job.resources
-      if (this.tasksInHeatRoom(job) < (job.job.kind === 'gang' ? job.placeable.size : 1)) {
+      if (this.tasksWithinThermalLimit(job) < (job.job.kind === 'gang' ? job.placeable.size : 1)) {
         this.queue.suspend(group)
         continue
       }
-      const wanted = job.job.kind === 'gang' ? job.placeable.size : Math.min(job.placeable.size, TASKS_PER_TURN, limit - starts, this.tasksInHeatRoom(job))
+      const wanted = job.job.kind === 'gang' ? job.placeable.size : Math.min(job.placeable.size, TASKS_PER_TURN, limit - starts, this.tasksWithinThermalLimit(job))
       const placed = this.place(job, wanted, candidates, now)
       starts += placed.length
-      this.heatRoom -= placed.length * processorsThousandths
+      this.thermalHeadroomThousandths -= placed.length * processorsThousandths
       for (const decision of placed) decisions.push(decision)
       if (placed.length === wanted) continue
-      if (job.rank === URGENT_RANK) this.urgentRoom.add(job)
-      else if (job.job.kind === 'gang') this.gangs.add(job)
+      if (job.rank === URGENT_RANK) this.urgentReservations.add(job)
+      else if (job.job.kind === 'gang') this.gangReservations.add(job)
       this.queue.park(group)
       failedTries += 1
     }
@@ -294,43 +294,43 @@
   /** Starts `wanted` tasks of a job, as many as fit; of a gang all or none. */
   private place (job: JobEntry, wanted: number, candidates: readonly WorkerEntry[] | undefined, now: number): SchedulingDecision[] {
     const placed: Array<{ task: TaskEntry, entry: WorkerEntry }> = []
-    const accept = (entry: WorkerEntry): boolean => now >= entry.avoidUntil && this.health.accepts(entry, job, now) && this.claims.allows(entry, job)
+    const accept = (entry: WorkerEntry): boolean => now >= entry.avoidUntil && this.health.accepts(entry, job, now) && this.reservations.allows(entry, job)
     for (const task of job.placeable) {
       if (placed.length >= wanted) break
-      const elsewhere = task.failures === 0 ? undefined : this.chooseFor(job, candidates, entry => !task.failedOn.has(entry.worker.name) && accept(entry))
-      const entry = elsewhere ?? this.chooseFor(job, candidates, accept)
+      const elsewhere = task.failures === 0 ? undefined : this.chooseWorker(job, candidates, entry => !task.failedOn.has(entry.worker.name) && accept(entry))
+      const entry = elsewhere ?? this.chooseWorker(job, candidates, accept)
       if (entry === undefined || !this.ledger.place(task, entry, { term: this.term, sequence: ++this.sequence }, now)) break
       placed.push({ task, entry })
     }
     if (job.job.kind === 'gang' && placed.length < wanted) {
-      this.undoing = true
+      this.undoingPlacements = true
       for (const { task } of placed) this.ledger.undoPlacement(task)
-      this.undoing = false
+      this.undoingPlacements = false
       return []
     }
-    if (this.claims.size > 0) {
-      for (const { entry } of placed) this.claims.consume(job, entry)
+    if (this.reservations.size > 0) {
+      for (const { entry } of placed) this.reservations.consume(job, entry)
     }
     return placed.map(({ task, entry }) => this.startDecision(task, entry, task.attempt as Attempt))
   }
 
   /** Chooses a worker; for a service one of the racks with the fewest of its tasks, if such a rack has room. */
-  private chooseFor (job: JobEntry, candidates: readonly WorkerEntry[] | undefined, accept: (entry: WorkerEntry) => boolean): WorkerEntry | undefined {
+  private chooseWorker (job: JobEntry, candidates: readonly WorkerEntry[] | undefined, accept: (entry: WorkerEntry) => boolean): WorkerEntry | undefined {
     const { resources, kind } = job.job
     const choose = (accepted: typeof accept): WorkerEntry | undefined => candidates === undefined ? this.policy.choose(resources, accepted) : bestFit(resources, candidates, accepted)
     if (kind !== 'service') return choose(accept)
     return chooseSpreadOverRacks(job, worker => this.ledger.workers.get(worker)?.worker.description.rack, accepts => choose(entry => accepts(entry) && accept(entry)))
   }
 
-  private tasksInHeatRoom (job: JobEntry): number {
+  private tasksWithinThermalLimit (job: JobEntry): number {
     const { processorsThousandths } = job.job.resources
-    return isExemptFromThermalLimit(job) || processorsThousandths === 0 ? Infinity : Math.floor(this.heatRoom / processorsThousandths)
+    return isExemptFromThermalLimit(job) || processorsThousandths === 0 ? Infinity : Math.floor(this.thermalHeadroomThousandths / processorsThousandths)
   }
 
-  private applyHeat (now: number, decisions: SchedulingDecision[]): void {
-    const plan: ThermalPlan = this.heat.plan(this.ledger.workers.values(), now)
-    this.heatRoom = plan.headroomThousandths
-    if (this.heatRoom > 0) this.queue.resumeSuspended()
+  private applyThermalLimit (now: number, decisions: SchedulingDecision[]): void {
+    const plan: ThermalPlan = this.thermalLimit.plan(this.ledger.workers.values(), now)
+    this.thermalHeadroomThousandths = plan.headroomThousandths
+    if (this.thermalHeadroomThousandths > 0) this.queue.resumeSuspended()
     for (const task of plan.checkpoint) this.preempt(task, 'the allowed capacity', now, decisions)
     for (const task of plan.throttle) this.throttle(task, THROTTLE_PERCENT, decisions)
     for (const task of plan.restore) this.throttle(task, 100, decisions)
@@ -349,9 +349,9 @@
   }
 
   /** Treats deferrable jobs that have waited for long as normal, so that they are not passed over for ever. */
-  private age (now: number): void {
-    while ((this.aging.peekValue() ?? Infinity) <= now) {
-      const job = this.aging.pop() as JobEntry
+  private promoteAgedJobs (now: number): void {
+    while ((this.agingJobs.peekValue() ?? Infinity) <= now) {
+      const job = this.agingJobs.pop() as JobEntry
       if (!job.isWaiting || this.ledger.jobs.get(job.job.identity) !== job) continue
       job.rank -= 1
       job.queued = false
@@ -364,7 +364,7 @@
     return { kind: 'start', worker: entry.worker.description, task: task.task, attempt, job: task.job.job, taskIndex: task.index, resumeFromMilliseconds: task.checkpointMilliseconds }
   }
 
-  private repeat (entry: WorkerEntry, hold: Hold): SchedulingDecision[] {
+  private commandsFor (entry: WorkerEntry, hold: Hold): SchedulingDecision[] {
     const { task, attempt } = hold
     if (hold.state === 'stopping') {
       const kind = hold.checkpointFirst ? 'checkpoint' : 'stop'
@@ -376,7 +376,7 @@
   }
 
   /** Ends a job whose tasks have all ended, and stops the tasks of one that was cancelled or has failed. */
-  private settle (entry: JobEntry, now: number, decisions: SchedulingDecision[]): void {
+  private endOrStopJob (entry: JobEntry, now: number, decisions: SchedulingDecision[]): void {
     if (entry.endDecided || this.ledger.jobs.get(entry.job.identity) !== entry) return
     if (entry.counts.finished === entry.tasks.length) {
       this.endJob(entry, decisions, 'finished')
--- a/src/scheduling/taskLedger.ts
+++ b/src/scheduling/taskLedger.ts
@@ -22,8 +22,8 @@
   newlyFinished = new Map<string, number[]>()
   /** Worker of each start command without an outcome, by the attempt's number. */
   private readonly startsInFlight = new Map<number, WorkerEntry>()
-  private unreported = 0
-  private order = 0
+  private unreportedCount = 0
+  private lastOrder = 0
   private readonly timers = new HoldTimers()
   /** Workers that hold or report attempts of jobs that are not known here. */
   private readonly orphans = new Map<string, Set<WorkerEntry>>()
@@ -32,7 +32,7 @@
 
   /** Whether every worker has reported to this owner. */
   get everyWorkerReported (): boolean {
-    return this.unreported === 0
+    return this.unreportedCount === 0
   }
 
   setWorkers (workers: ReadonlyArray<WorkerDescription & { leaving: boolean }>): void {
@@ -53,17 +53,17 @@
 
   /** Forgets workers that left the list without a report. Before the leases of an earlier owner have lapsed they may still run its tasks. */
   forgetSilentWorkers (): void {
-    if (this.unreported === 0) return
+    if (this.unreportedCount === 0) return
     for (const [name, entry] of this.workers) {
       if (entry.listed || entry.reportedAt !== undefined) continue
       this.workers.delete(name)
-      this.unreported -= 1
+      this.unreportedCount -= 1
     }
   }
 
-  addJob (job: Job, now: number, mayBePlaced: boolean): JobEntry | undefined {
+  addJob (job: Job, now: number, mayAlreadyBePlaced: boolean): JobEntry | undefined {
     if (this.jobs.has(job.identity)) return undefined
-    const added = new JobEntry(job, now, ++this.order, mayBePlaced, this.teams.usageOf(job.team))
+    const added = new JobEntry(job, now, ++this.lastOrder, mayAlreadyBePlaced, this.teams.usageOf(job.team))
     this.jobs.set(job.identity, added)
     for (const entry of this.orphans.get(job.identity) ?? []) this.adoptOrphans(entry, added, now)
     this.orphans.delete(job.identity)
@@ -79,7 +79,7 @@
     }
     for (const entry of job.holdCount === 0 ? [] : this.workers.values()) {
       for (const hold of entry.worker.held) {
-        if (hold.job === identity) this.beginStop(entry, hold, 0)
+        if (hold.job === identity) this.requestStop(entry, hold, 0)
       }
     }
     job.releaseTeamUsage()
@@ -138,7 +138,7 @@
     if (entry === undefined || attempt.term !== this.term) return
     this.startsInFlight.delete(attempt.sequence)
     if (outcome === 'stale') this.superseded = true
-    if (outcome === 'notSent' || outcome === 'refused') this.avoid(entry, now)
+    if (outcome === 'notSent' || outcome === 'refused') this.avoidTemporarily(entry, now)
     const hold = entry.worker.find(task)
     if (hold === undefined || compareAttempts(hold.attempt, attempt) !== 0) return
     hold.renewedAt = Math.max(hold.renewedAt, now)
@@ -165,7 +165,7 @@
     if (report.term > this.term) this.superseded = true
     if (entry === undefined || report.term !== this.term || requestedAt < entry.reportRequestedAt) return
     const first = entry.reportedAt === undefined
-    if (first) this.unreported -= 1
+    if (first) this.unreportedCount -= 1
     entry.reportedAt = now
     entry.reportRequestedAt = requestedAt
     entry.endedOrphans.clear()
@@ -177,7 +177,7 @@
     for (const hold of [...entry.worker.held]) {
       if (listed.has(hold.task)) continue
       if (hold.confirmedAt === undefined) this.repeatStart(entry, hold, now, requestedAt)
-      else if (hold.confirmedAt < requestedAt) this.lose(entry, hold)
+      else if (hold.confirmedAt < requestedAt) this.reportLost(entry, hold)
     }
     for (const [task, attempt] of entry.pendingAcknowledgements) {
       const reported = listed.get(task)
@@ -192,12 +192,12 @@
     const hold = entry?.worker.find(task.task)
     if (entry === undefined || hold === undefined) return
     if (hold.state !== 'stopping') hold.checkpointFirst = checkpoint
-    this.beginStop(entry, hold, now)
+    this.requestStop(entry, hold, now)
   }
 
   /** Releases what is held by attempts whose lease has certainly lapsed. */
   releaseLapsed (now: number): void {
-    for (let held = this.timers.takeLapsed(now); held !== undefined; held = this.timers.takeLapsed(now)) this.lose(held.entry, held.hold)
+    for (let held = this.timers.takeLapsed(now); held !== undefined; held = this.timers.takeLapsed(now)) this.reportLost(held.entry, held.hold)
   }
 
   /** Returns at most `limit` holds whose stop is to be sent or whose start is to be repeated now. */
@@ -207,13 +207,13 @@
 
   /** Stops running attempts of jobs that are not known, and lets workers forget ended ones. To be called only when all open jobs are known. */
   resolveOrphans (now: number): void {
-    for (const [job, places] of this.orphans) {
-      for (const entry of places) {
+    for (const [job, holders] of this.orphans) {
+      for (const entry of holders) {
         for (const [task, reported] of entry.endedOrphans) {
           if (jobOfTask(task) === job) entry.pendingAcknowledgements.set(task, reported.attempt)
         }
         for (const hold of entry.worker.held) {
-          if (hold.job === job) this.beginStop(entry, hold, now)
+          if (hold.job === job) this.requestStop(entry, hold, now)
         }
       }
     }
@@ -233,7 +233,7 @@
     this.timers.scheduleCommand(entry, hold, now)
   }
 
-  private lose (entry: WorkerEntry, hold: Hold): void {
+  private reportLost (entry: WorkerEntry, hold: Hold): void {
     this.observer.onTaskLost(hold.task, entry.worker.name)
     this.release(entry, hold)
   }
@@ -244,7 +244,7 @@
     const entry = known ?? new WorkerEntry(description)
     if (known === undefined) {
       this.workers.set(description.name, entry)
-      this.unreported += 1
+      this.unreportedCount += 1
     }
     if (entry.applyListing(description, leaving) || known === undefined) this.observer.onWorkerChanged(entry)
   }
@@ -262,13 +262,13 @@
     if (hold === undefined || compareAttempts(reported.attempt, hold.attempt) > 0) hold = this.adopt(entry, task, reported, now)
     hold.confirmedAt ??= now
     if (task === undefined) {
-      this.noteOrphan(jobOfTask(reported.task), entry)
+      this.addOrphanHolder(jobOfTask(reported.task), entry)
       return
     }
     this.setRunning(entry, hold)
     const newer = task.attempt === undefined || compareAttempts(reported.attempt, task.attempt) > 0
     if (task.phase === 'finished' || (!newer && task.worker !== entry.worker.name)) {
-      this.beginStop(entry, hold, now)
+      this.requestStop(entry, hold, now)
       return
     }
     if (!newer) return
@@ -288,7 +288,7 @@
     if (task === undefined) {
       if (hold !== undefined) this.release(entry, hold)
       entry.endedOrphans.set(reported.task, reported)
-      this.noteOrphan(jobOfTask(reported.task), entry)
+      this.addOrphanHolder(jobOfTask(reported.task), entry)
       return
     }
     const acknowledged = entry.pendingAcknowledgements.get(reported.task)
@@ -360,7 +360,7 @@
     this.observer.onJobChanged(task.job)
   }
 
-  private beginStop (entry: WorkerEntry, hold: Hold, now: number): void {
+  private requestStop (entry: WorkerEntry, hold: Hold, now: number): void {
     if (hold.state === 'stopping') return
     hold.state = 'stopping'
     this.timers.scheduleCommand(entry, hold, now)
@@ -382,15 +382,15 @@
     this.observer.onJobChanged(task.job)
   }
 
-  private avoid (entry: WorkerEntry, now: number): void {
+  private avoidTemporarily (entry: WorkerEntry, now: number): void {
     entry.avoidUntil = now + AVOID_AFTER_REFUSAL_MILLISECONDS
     this.observer.onWorkerChanged(entry)
   }
 
-  private noteOrphan (job: string, entry: WorkerEntry): void {
-    const places = this.orphans.get(job)
-    if (places === undefined) this.orphans.set(job, new Set([entry]))
-    else places.add(entry)
+  private addOrphanHolder (job: string, entry: WorkerEntry): void {
+    const holders = this.orphans.get(job)
+    if (holders === undefined) this.orphans.set(job, new Set([entry]))
+    else holders.add(entry)
   }
 }
 
--- a/src/scheduling/teamShares.ts
+++ b/src/scheduling/teamShares.ts
@@ -11,7 +11,7 @@
 
 /** Quotas of teams and what they use. A team may use more than its quota while others leave theirs. */
 export class TeamShares {
-  private readonly uses = new Map<string, TeamUsage>()
+  private readonly usages = new Map<string, TeamUsage>()
   private quotas: Readonly<Record<string, { quota: Resources }>> = {}
 
   setQuotas (quotas: Readonly<Record<string, { quota: Resources }>>): void {
@@ -19,12 +19,12 @@
   }
 
   usageOf (team: string): TeamUsage {
-    let use = this.uses.get(team)
-    if (use === undefined) {
-      use = new TeamUsage()
-      this.uses.set(team, use)
+    let usage = this.usages.get(team)
+    if (usage === undefined) {
+      usage = new TeamUsage()
+      this.usages.set(team, usage)
     }
-    return use
+    return usage
   }
 
   /** Greatest share of its quota that a team uses over the three resources; 1 is the whole quota. */
--- a/src/scheduling/thermalLimit.ts
+++ b/src/scheduling/thermalLimit.ts
@@ -19,8 +19,8 @@
 
 /** Keeps the processors in use below the allowed share of all workers. A lower share holds at once, a higher one is approached slowly. */
 export class ThermalLimit {
-  private target = 100
-  private effective = 100
+  private targetPercent = 100
+  private currentPercent = 100
   private advancedAt: number | undefined
   private readonly throttled = new Set<TaskEntry>()
 
@@ -28,26 +28,26 @@
 
   /** Share of the workers' capacity that may be used at present, in percent. */
   get effectivePercent (): number {
-    return this.effective
+    return this.currentPercent
   }
 
-  setTargetPercent (effectivePercent: number): void {
-    this.target = effectivePercent
+  setTargetPercent (percent: number): void {
+    this.targetPercent = percent
   }
 
   plan (workers: Iterable<WorkerEntry>, now: number): ThermalPlan {
     const elapsed = now - (this.advancedAt ?? now)
     this.advancedAt = now
-    this.effective = Math.min(this.target, this.effective + elapsed * RISE_PERCENT_PER_SECOND / 1000)
-    if (this.effective >= 100 && this.throttled.size === 0) return NO_LIMIT
+    this.currentPercent = Math.min(this.targetPercent, this.currentPercent + elapsed * RISE_PERCENT_PER_SECOND / 1000)
+    if (this.currentPercent >= 100 && this.throttled.size === 0) return NO_LIMIT
     for (const task of this.throttled) {
       if (task.phase !== 'running') this.throttled.delete(task)
     }
     let capacity = 0
     let used = 0
     const deferrable: TaskEntry[] = []
-    for (const { worker, schedulable: present } of workers) {
-      if (present) capacity += worker.description.capacity.processorsThousandths
+    for (const { worker, schedulable } of workers) {
+      if (schedulable) capacity += worker.description.capacity.processorsThousandths
       for (const hold of worker.held) {
         if (hold.state === 'stopping') continue
         const task = this.findTask(hold.task)
@@ -55,34 +55,34 @@
         if (task?.phase === 'running' && task.job.job.urgency === 'deferrable' && task.job.job.kind !== 'service') deferrable.push(task)
       }
     }
-    return this.planFor(capacity * this.effective / 100 - used, deferrable)
+    return this.planFor(capacity * this.currentPercent / 100 - used, deferrable)
   }
 
-  private planFor (room: number, deferrable: TaskEntry[]): ThermalPlan {
-    let roomThousandths = room
+  private planFor (headroom: number, deferrable: TaskEntry[]): ThermalPlan {
+    let headroomThousandths = headroom
     const checkpoint: TaskEntry[] = []
     const throttle: TaskEntry[] = []
     const restore: TaskEntry[] = []
     for (const task of deferrable.filter(({ job }) => job.job.checkpointable)) {
-      if (roomThousandths >= 0) break
-      roomThousandths += processorsOf(task)
+      if (headroomThousandths >= 0) break
+      headroomThousandths += processorsOf(task)
       checkpoint.push(task)
     }
     for (const task of deferrable) {
-      if (roomThousandths >= 0) break
+      if (headroomThousandths >= 0) break
       if (task.job.job.checkpointable || this.throttled.has(task)) continue
-      roomThousandths += processorsOf(task) * (1 - THROTTLE_PERCENT / 100)
+      headroomThousandths += processorsOf(task) * (1 - THROTTLE_PERCENT / 100)
       this.throttled.add(task)
       throttle.push(task)
     }
     for (const task of this.throttled) {
       const needed = processorsOf(task) * (1 - THROTTLE_PERCENT / 100)
-      if (throttle.length > 0 || needed > roomThousandths) break
-      roomThousandths -= needed
+      if (throttle.length > 0 || needed > headroomThousandths) break
+      headroomThousandths -= needed
       this.throttled.delete(task)
       restore.push(task)
     }
-    return { checkpoint, throttle, restore, headroomThousandths: this.effective >= 100 ? Infinity : roomThousandths }
+    return { checkpoint, throttle, restore, headroomThousandths: this.currentPercent >= 100 ? Infinity : headroomThousandths }
   }
 }
 
--- a/src/scheduling/urgentReservationPlanner.ts
+++ b/src/scheduling/urgentReservationPlanner.ts
@@ -6,13 +6,13 @@
 /** Places that are made by preemption in one decision at most. */
 const PREEMPTIONS_PER_DECISION = 50
 /** Room that is made by preemption is kept for this long: the bound on a checkpoint, the stop after it, and its report. */
-const CLAIM_MILLISECONDS = 8000
+const RESERVATION_MILLISECONDS = 8000
 
 /** Makes room for urgent jobs that did not fit, and keeps it for them. */
 export class UrgentReservationPlanner {
   private readonly waiting = new Set<JobEntry>()
 
-  constructor (private readonly claims: CapacityReservations, private readonly planner: PreemptionPlanner) {}
+  constructor (private readonly reservations: CapacityReservations, private readonly planner: PreemptionPlanner) {}
 
   /** Notes that an urgent job did not fit. */
   add (job: JobEntry): void {
@@ -30,11 +30,11 @@
         this.waiting.delete(job)
         continue
       }
-      for (let missing = job.placeable.size - this.claims.forJob(job).length; missing > 0; missing -= 1) {
+      for (let missing = job.placeable.size - this.reservations.forJob(job).length; missing > 0; missing -= 1) {
         if (plans.length >= PREEMPTIONS_PER_DECISION) return plans
         const plan = this.planner.plan(job, workers, victims, now)
         if (plan === undefined) break
-        this.claims.add({ entry: plan.entry, job, resources: job.job.resources, expiresAt: now + CLAIM_MILLISECONDS, openToBackfill: false })
+        this.reservations.add({ entry: plan.entry, job, resources: job.job.resources, expiresAt: now + RESERVATION_MILLISECONDS, openToBackfill: false })
         for (const victim of plan.victims) victims.add(victim.task)
         plans.push({ ...plan, job })
       }
--- a/src/scheduling/workerHealth.ts
+++ b/src/scheduling/workerHealth.ts
@@ -10,7 +10,7 @@
 /** First quarantine; each further one within the memory below lasts twice as long, up to the longest. In milliseconds. */
 const FIRST_QUARANTINE_MILLISECONDS = 60_000
 const LONGEST_QUARANTINE_MILLISECONDS = 960_000
-const MEMORY_MILLISECONDS = 3_600_000
+const QUARANTINE_HISTORY_MILLISECONDS = 3_600_000
 
 interface Health {
   /** Attempts that have failed since the last one that finished. */
@@ -64,19 +64,19 @@
     const health = this.health.get(entry) ?? { failed: [], quarantinedUntil: undefined, quarantines: 0, releasedAt: -Infinity }
     this.health.set(entry, health)
     if (health.quarantinedUntil !== undefined) {
-      this.forgive(task, entry)
-      if (now >= health.quarantinedUntil) health.quarantinedUntil = now + this.nextLength(health)
+      this.removeFailures(task, entry)
+      if (now >= health.quarantinedUntil) health.quarantinedUntil = now + this.nextQuarantineMilliseconds(health)
       return undefined
     }
     health.failed.push(task)
-    const telling = health.failed.filter(({ job }) => (this.jobsFailedOn.get(job)?.size ?? 0) < WORKERS_BEFORE_JOB_SUSPECTED)
-    const jobs = new Set(telling.map(({ job }) => job))
-    if (telling.length < FAILURES_BEFORE_QUARANTINE || jobs.size < JOBS_BEFORE_QUARANTINE) return undefined
-    if (now - health.releasedAt > MEMORY_MILLISECONDS) health.quarantines = 0
-    for (const failed of health.failed) this.forgive(failed, entry)
+    const countedFailures = health.failed.filter(({ job }) => (this.jobsFailedOn.get(job)?.size ?? 0) < WORKERS_BEFORE_JOB_SUSPECTED)
+    const jobs = new Set(countedFailures.map(({ job }) => job))
+    if (countedFailures.length < FAILURES_BEFORE_QUARANTINE || jobs.size < JOBS_BEFORE_QUARANTINE) return undefined
+    if (now - health.releasedAt > QUARANTINE_HISTORY_MILLISECONDS) health.quarantines = 0
+    for (const failed of health.failed) this.removeFailures(failed, entry)
     health.failed = []
-    health.quarantinedUntil = now + this.nextLength(health)
-    return { kind: 'workerQuarantined', worker: entry.worker.name, detail: `${telling.length} attempts of ${jobs.size} jobs failed in a row` }
+    health.quarantinedUntil = now + this.nextQuarantineMilliseconds(health)
+    return { kind: 'workerQuarantined', worker: entry.worker.name, detail: `${countedFailures.length} attempts of ${jobs.size} jobs failed in a row` }
   }
 
   forgetJob (job: JobEntry): void {
@@ -88,13 +88,13 @@
   }
 
   /** A failure on a worker that fails everything does not count against the task. */
-  private forgive (task: TaskEntry, entry: WorkerEntry): void {
+  private removeFailures (task: TaskEntry, entry: WorkerEntry): void {
     const count = task.failedOn.get(entry.worker.name) ?? 0
     task.failures -= count
     task.failedOn.delete(entry.worker.name)
   }
 
-  private nextLength (health: Health): number {
+  private nextQuarantineMilliseconds (health: Health): number {
     health.quarantines += 1
     return Math.min(LONGEST_QUARANTINE_MILLISECONDS, FIRST_QUARANTINE_MILLISECONDS * 2 ** (health.quarantines - 1))
   }
--- a/src/scheduling/workerIndex.ts
+++ b/src/scheduling/workerIndex.ts
@@ -11,9 +11,9 @@
 const WORDS_PER_ROW = MEMORY_CLASSES / 32
 const MEMORY_UNIT_BYTES = 2 ** 20
 /** Fitting workers that are compared before the best of them is taken. */
-const CANDIDATES = 8
+const CANDIDATES_TO_COMPARE = 8
 /** Workers of one class that are tried before the search goes on; the rest of the class is tried only if nothing else fits. */
-const TRIED_PER_CELL = 32
+const TRIES_PER_CELL = 32
 
 /** Workers by free accelerators, processors and memory in classes; each change of a worker moves it in constant time. */
 export class WorkerIndex {
@@ -25,8 +25,8 @@
   private readonly layerCounts = new Uint32Array(ACCELERATOR_CLASSES)
 
   /** Puts a worker where its free resources belong, or takes it out if it is not `present`. */
-  update (entry: WorkerEntry, present: boolean): void {
-    const cell = present ? cellOf(entry.worker.free) : -1
+  update (entry: WorkerEntry, schedulable: boolean): void {
+    const cell = schedulable ? cellOf(entry.worker.free) : -1
     if (cell === entry.indexCell) return
     if (entry.indexCell >= 0) this.remove(entry)
     if (cell >= 0) this.insert(entry, cell)
@@ -34,7 +34,7 @@
 
   /** Returns an accepted worker with room for the demand that has little left over, or undefined if there is none. */
   choose (demand: Resources, accept: (entry: WorkerEntry) => boolean): WorkerEntry | undefined {
-    const search = new Search(demand, accept)
+    const search = new BestFitSearch(demand, accept)
     const skipped: WorkerEntry[][] = []
     const firstProcessorClass = processorClass(demand.processorsThousandths)
     const firstMemoryClass = memoryClass(demand.memoryBytes)
@@ -45,14 +45,14 @@
         if (this.rowCounts[rowIndex] === 0) continue
         for (let column = this.nextColumn(rowIndex, firstMemoryClass); column >= 0; column = this.nextColumn(rowIndex, column + 1)) {
           const workers = this.cells[rowIndex * MEMORY_CLASSES + column] as WorkerEntry[]
-          if (search.tryAll(workers, TRIED_PER_CELL)) skipped.push(workers)
-          if (search.found >= CANDIDATES) return search.best
+          if (search.tryWorkers(workers, TRIES_PER_CELL)) skipped.push(workers)
+          if (search.fittingCount >= CANDIDATES_TO_COMPARE) return search.best
         }
       }
       if (search.best !== undefined) return search.best
     }
     for (const workers of skipped) {
-      search.tryAll(workers, Infinity)
+      search.tryWorkers(workers, Infinity)
       if (search.best !== undefined) return search.best
     }
     return undefined
@@ -70,11 +70,11 @@
   private insert (entry: WorkerEntry, cell: number): void {
     const workers = this.cells[cell] ?? []
     this.cells[cell] = workers
-    if (workers.length === 0) this.flipOccupied(cell)
+    if (workers.length === 0) this.toggleOccupied(cell)
     entry.indexCell = cell
     entry.indexPosition = workers.length
     workers.push(entry)
-    this.count(cell, 1)
+    this.adjustCounts(cell, 1)
   }
 
   private remove (entry: WorkerEntry): void {
@@ -84,18 +84,18 @@
       workers[entry.indexPosition] = last
       last.indexPosition = entry.indexPosition
     }
-    if (workers.length === 0) this.flipOccupied(entry.indexCell)
-    this.count(entry.indexCell, -1)
+    if (workers.length === 0) this.toggleOccupied(entry.indexCell)
+    this.adjustCounts(entry.indexCell, -1)
     entry.indexCell = -1
   }
 
-  private flipOccupied (cell: number): void {
+  private toggleOccupied (cell: number): void {
     const column = cell % MEMORY_CLASSES
     const word = Math.floor(cell / MEMORY_CLASSES) * WORDS_PER_ROW + (column >> 5)
     this.occupied[word] = (this.occupied[word] as number) ^ (1 << (column & 31))
   }
 
-  private count (cell: number, change: 1 | -1): void {
+  private adjustCounts (cell: number, change: 1 | -1): void {
     const row = Math.floor(cell / MEMORY_CLASSES)
     const layer = Math.floor(row / PROCESSOR_CLASSES)
     this.rowCounts[row] = (this.rowCounts[row] as number) + change
@@ -104,26 +104,26 @@
 }
 
 /** Keeps the best of the workers tried so far. */
-class Search {
+class BestFitSearch {
   best: WorkerEntry | undefined
-  found = 0
+  fittingCount = 0
   private bestScore = Infinity
 
   constructor (private readonly demand: Resources, private readonly accept: (entry: WorkerEntry) => boolean) {}
 
   /** Tries at most `limit` workers; returns whether some were left out. */
-  tryAll (workers: readonly WorkerEntry[], limit: number): boolean {
+  tryWorkers (workers: readonly WorkerEntry[], limit: number): boolean {
     const count = Math.min(workers.length, limit)
     for (let index = 0; index < count; index += 1) {
       const entry = workers[index] as WorkerEntry
       if (!fitsWithin(this.demand, entry.worker.free) || !this.accept(entry)) continue
-      this.found += 1
+      this.fittingCount += 1
       const score = leftoverScore(this.demand, entry)
       if (score < this.bestScore) {
         this.best = entry
         this.bestScore = score
       }
-      if (this.found >= CANDIDATES) return false
+      if (this.fittingCount >= CANDIDATES_TO_COMPARE) return false
     }
     return count < workers.length
   }
