--- a/src/scheduling/decisions.ts
+++ b/src/scheduling/decisions.ts
@@ -9,7 +9,7 @@
   readonly attempt: Attempt
 }
 
-/** What the scheduler asks the surrounding task to do or to record. */
+/** Command or event that the scheduler asks its caller to send or to record. */
 export type SchedulingDecision =
   | TaskCommand & { readonly kind: 'start', readonly job: Job, readonly taskIndex: number, readonly resumeFromMilliseconds: number }
   | TaskCommand & { readonly kind: 'stop' | 'checkpoint' }
@@ -19,7 +19,7 @@
   | { readonly kind: 'taskLost', readonly task: string, readonly worker: string }
   | HealthChange
 
-/** Attempts to renew on one worker and those whose end has been taken note of. */
+/** Attempts whose lease is to be renewed on one worker, and ended attempts to acknowledge to it. */
 export interface RenewalPlan {
   readonly worker: WorkerDescription
   readonly tasks: ReadonlyArray<{ task: string, attempt: Attempt }>
--- a/src/scheduling/explain.ts
+++ b/src/scheduling/explain.ts
@@ -9,7 +9,7 @@
 import type { WorkerEntry } from './workerEntry.js'
 import type { WorkerHealth } from './workerHealth.js'
 
-/** What an explanation is drawn from. */
+/** State of the scheduler from which an explanation is made. */
 export interface ExplainSources {
   readonly ledger: TaskLedger
   readonly reservations: CapacityReservations
@@ -21,7 +21,7 @@
   readonly thermalHeadroomThousandths: number
 }
 
-/** Says in at most a screen of plain text why a job waits, and what would change that. */
+/** Explains in at most a screen of plain text why a job waits, and what would change that. */
 export function explainJob (job: JobEntry, sources: ExplainSources, inventoryComplete: boolean, now: number): string {
   const { counts } = job
   const lines = [`${counts.waiting} waiting, ${counts.starting} starting, ${counts.running} running, ${counts.stopping} stopping, ${counts.finished} finished of ${job.tasks.length} tasks`]
--- a/src/scheduling/holdTimers.ts
+++ b/src/scheduling/holdTimers.ts
@@ -4,9 +4,9 @@
 
 /** Length of a task's lease on its worker, in milliseconds. */
 export const TASK_LEASE_MILLISECONDS = 30_000
-/** Added when waiting for a task's lease to end: clock drift of the worker over one lease and scheduling delay. */
+/** Margin added when waiting for a task's lease to end, for clock drift of the worker over one lease and scheduling delay, in milliseconds. */
 export const TASK_LEASE_MARGIN_MILLISECONDS = 1000
-/** A stop is repeated after this time until the attempt has ended, in milliseconds. */
+/** Interval at which a stop is repeated until the attempt has ended, in milliseconds. */
 const REPEAT_STOP_MILLISECONDS = 2000
 
 /** An attempt and the worker that holds resources for it. */
@@ -15,22 +15,22 @@
   readonly hold: Hold
 }
 
-/** Ends of leases, and commands to send or to repeat, ordered by time. Entries of released holds are dropped when they are due. */
+/** Lease ends, and commands to send or to repeat, ordered by time. Entries of released holds are dropped when they are due. */
 export class HoldTimers {
   private readonly lapses = new FlatQueue<HeldAttempt>()
   private readonly commands = new FlatQueue<HeldAttempt>()
 
-  /** Follows the lease of an attempt. */
+  /** Tracks the lease of an attempt. */
   track (entry: WorkerEntry, hold: Hold): void {
     this.lapses.push({ entry, hold }, lapseTime(hold))
   }
 
-  /** Plans the command that the state of the hold asks for: a stop if it is stopping, a start if it is starting. */
+  /** Schedules the command that the state of the hold requires: a stop if it is stopping, a start if it is starting. */
   scheduleCommand (entry: WorkerEntry, hold: Hold, at: number): void {
     this.commands.push({ entry, hold }, at)
   }
 
-  /** Returns the next attempt whose lease has certainly lapsed, or undefined. */
+  /** Returns the next attempt whose lease must have lapsed, or undefined. */
   takeLapsed (now: number): HeldAttempt | undefined {
     while ((this.lapses.peekValue() ?? Infinity) <= now) {
       const held = this.lapses.pop() as HeldAttempt
@@ -42,7 +42,7 @@
     return undefined
   }
 
-  /** Returns at most `limit` attempts whose stop or start is to be sent now. A stop is repeated until it has taken effect. */
+  /** Returns at most `limit` attempts whose stop or start must be sent now. A stop is repeated until it has taken effect. */
   takeCommands (now: number, limit: number): HeldAttempt[] {
     const due: HeldAttempt[] = []
     while (due.length < limit && (this.commands.peekValue() ?? Infinity) <= now) {
--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -20,27 +20,27 @@
 import { TaskLedger } from './taskLedger.js'
 import type { WorkerEntry } from './workerEntry.js'
 
-/** A worker that has not answered for this long gets no renewals, so that its leases lapse, in milliseconds. */
+/** Silence after which the leases on a worker are no longer renewed, so that they lapse, in milliseconds. */
 const SILENCE_BEFORE_LAPSE_MILLISECONDS = 10_000
-/** Most stops and repeated starts in one decision. */
-const COMMANDS_PER_DECISION = 500
-/** Most changed jobs that one decision looks at, so that a wave of cancellations does not hold up placements. */
-const CHANGED_JOBS_PER_DECISION = 500
-/** Most groups of jobs that one decision tries in vain. */
-const FAILED_TRIES_PER_DECISION = 200
-/** Most tasks of one job that are placed before another team has its turn. */
+/** Maximum number of stops and repeated starts per pass. */
+const COMMANDS_PER_PASS = 500
+/** Maximum number of changed jobs processed per pass, so that a wave of cancellations does not delay placements. */
+const CHANGED_JOBS_PER_PASS = 500
+/** Maximum number of groups of jobs that one pass tries without success. */
+const FAILED_PLACEMENTS_PER_PASS = 200
+/** Maximum number of tasks of one job that are placed before another team has its turn. */
 const TASKS_PER_TURN = 16
 
-/** A deferrable job that has waited for this long counts as normal, in milliseconds. */
+/** Waiting time after which a deferrable job is treated as normal, in milliseconds. */
 const AGING_MILLISECONDS = 1_800_000
 const URGENT_RANK = 0
-/** A task that has failed on this many workers fails its job, or with this many attempts where there are fewer workers. */
+/** A task that has failed on this many workers, or in this many attempts where there are fewer workers, fails its job. */
 const WORKERS_BEFORE_JOB_FAILS = 3
 const ATTEMPTS_BEFORE_JOB_FAILS = 6
 
 /**
- * Places the tasks of one failure domain on its workers. It decides only; commands are sent by its caller,
- * which reports their outcomes. Times are monotonic milliseconds of the owner.
+ * Places the tasks of one failure domain on its workers. It only makes decisions; the caller sends the commands
+ * and reports their outcomes. Times are monotonic milliseconds of the owner.
  */
 export class Scheduler implements LedgerObserver {
   private readonly ledger: TaskLedger
@@ -48,32 +48,33 @@
   private readonly teams = new TeamShares()
   private readonly health = new WorkerHealth()
   private readonly thermalLimit = new ThermalLimit(task => this.ledger.findTask(task))
-  /** Processors that batch work and gangs may start in this decision, in thousandths. */
+  /** Processors that batch work and gangs may still start in this pass, in thousandths. */
   private thermalHeadroomThousandths = Infinity
   private readonly reservations = new CapacityReservations(entry => this.queue.noteCapacityIncrease(entry))
   private readonly urgentReservations = new UrgentReservationPlanner(this.reservations, new PreemptionPlanner(this.reservations, task => this.ledger.findTask(task)))
   private readonly gangReservations = new GangReservationPlanner(this.reservations, task => this.ledger.findTask(task))
-  /** Waiting deferrable jobs, by the time at which they count as normal. */
+  /** Waiting deferrable jobs, ordered by the time at which they are treated as normal. */
   private readonly agingJobs = new FlatQueue<JobEntry>()
   private readonly changedJobs = new Set<JobEntry>()
   /** Jobs that wait for the inventory of every worker. */
   private readonly awaitingInventory: JobEntry[] = []
-  /** Workers that get no starts for a while, by its end. */
+  /** Workers that temporarily receive no starts, ordered by the end of that time. */
   private readonly avoidedWorkers = new FlatQueue<WorkerEntry>()
+  /** Lost tasks and changes of worker health, returned by the next pass. */
   private pendingDecisions: SchedulingDecision[] = []
   private sequence = 0
-  /** Whether tentative placements are being taken back, which frees nothing that was not free before. */
+  /** Whether tentative placements are being undone, which frees nothing that was not free before. */
   private undoingPlacements = false
 
   /**
    * @param term Term of the ownership; part of every attempt.
-   * @param silentWorkersLapseAt Time by which tasks started by an earlier owner on workers that do not answer have certainly ended.
+   * @param silentWorkersLapseAt Time by which tasks that an earlier owner started on silent workers must have ended.
    */
   constructor (private readonly term: number, private readonly silentWorkersLapseAt: number, private readonly policy: PlacementPolicy) {
     this.ledger = new TaskLedger(term, this, this.teams)
   }
 
-  /** Takes over the list of workers. One that disappears keeps its holds until their leases have lapsed. */
+  /** Applies the list of workers. A worker that is no longer listed keeps its holds until their leases have lapsed. */
   setWorkers (workers: ReadonlyArray<WorkerDescription & { leaving: boolean }>): void {
     this.ledger.setWorkers(workers)
   }
@@ -89,7 +90,7 @@
     if (job.urgency === 'deferrable') this.agingJobs.push(entry, now + AGING_MILLISECONDS)
   }
 
-  /** Takes over the teams' quotas. */
+  /** Sets the quotas of the teams. */
   setQuotas (teams: Readonly<Record<string, { quota: Resources }>>): void {
     this.teams.setQuotas(teams)
   }
@@ -106,14 +107,14 @@
     this.changedJobs.add(entry)
   }
 
-  /** Forgets a job whose end is in the log; ended attempts are then acknowledged to their workers. */
+  /** Removes a job whose end is in the log; its ended attempts are then acknowledged to their workers. */
   forgetJob (identity: string): void {
     const entry = this.ledger.jobs.get(identity)
     if (entry !== undefined) this.health.forgetJob(entry)
     this.ledger.forgetJob(identity)
   }
 
-  /** Returns finished tasks of open jobs that have not been returned before, by job, to be recorded in the log. */
+  /** Returns the tasks of open jobs that have finished since the last call, by job, to be recorded in the log. */
   takeProgress (): Map<string, number[]> {
     const taken = this.ledger.newlyFinished
     this.ledger.newlyFinished = new Map()
@@ -123,22 +124,22 @@
     return taken
   }
 
-  /** Takes note of finished tasks that are in the log. They do not run again. */
+  /** Applies finished tasks that are recorded in the log. They do not run again. */
   onProgress (job: string, finished: Iterable<number>, now: number): void {
     for (const index of finished) this.ledger.finishTask(job, index, now)
   }
 
-  /** Takes note of the outcome of a start. An unknown outcome keeps its resources held. */
+  /** Processes the outcome of a start command. If it is unknown, the resources stay held. */
   onStartOutcome (task: string, attempt: Attempt, outcome: StartOutcome, now: number): void {
     this.ledger.onStartOutcome(task, attempt, outcome, now)
   }
 
-  /** Takes note of a worker's report made with this term; `requestedAt` is when the request for it was sent. */
+  /** Processes a worker's report made with this term; `requestedAt` is when the request for it was sent. */
   onReport (name: string, report: WorkerReport, now: number, requestedAt = now): void {
     this.ledger.onReport(name, report, now, requestedAt)
   }
 
-  /** Returns the renewals to send now; the caller sends them right away and passes the reports to `onReport`. */
+  /** Returns the lease renewals to send now. The caller must send them immediately and pass the reports to `onReport`. */
   planRenewals (now: number): RenewalPlan[] {
     return [...this.ledger.workers.values()].map(entry => {
       const silent = now - (entry.reportedAt ?? now) > SILENCE_BEFORE_LAPSE_MILLISECONDS
@@ -153,17 +154,17 @@
     })
   }
 
-  /** Stops attempts of jobs that are not open; to be called only when every accepted job has been added. */
+  /** Stops attempts of jobs that are not open. Must be called only after every accepted job has been added. */
   resolveOrphans (now: number): void {
     this.ledger.resolveOrphans(now)
   }
 
-  /** Returns whether every worker's inventory is known or its old tasks have certainly ended. */
+  /** Returns whether every worker has reported its inventory, or the tasks of earlier owners on silent workers must have ended. */
   inventoryComplete (now: number): boolean {
     return now >= this.silentWorkersLapseAt || this.ledger.everyWorkerReported
   }
 
-  /** Decides what to start, stop and end now, at most `limit` starts. */
+  /** Runs a scheduling pass: decides what to start, stop and end now, with at most `limit` starts. */
   decide (now: number, limit: number): SchedulingDecision[] {
     if (this.ledger.superseded) return []
     if (now >= this.silentWorkersLapseAt) this.ledger.forgetSilentWorkers()
@@ -174,7 +175,7 @@
       for (const entry of this.awaitingInventory.splice(0)) this.changedJobs.add(entry)
     }
     this.processChangedJobs(now, decisions)
-    for (const { entry, hold } of this.ledger.takeCommands(now, COMMANDS_PER_DECISION)) decisions.push(...this.commandsFor(entry, hold))
+    for (const { entry, hold } of this.ledger.takeCommands(now, COMMANDS_PER_PASS)) decisions.push(...this.commandsFor(entry, hold))
     this.applyThermalLimit(now, decisions)
     this.reservations.expire(now)
     this.promoteAgedJobs(now)
@@ -189,7 +190,7 @@
     return decisions
   }
 
-  /** State of a job, or undefined if it is not known here. */
+  /** Returns the state of a job, or undefined if the scheduler does not have the job. */
   stateOf (identity: string): { state: JobState, running: number, waiting: number, finished: number } | undefined {
     const entry = this.ledger.jobs.get(identity)
     if (entry === undefined) return undefined
@@ -197,7 +198,7 @@
     return { state: entry.state, running, waiting, finished }
   }
 
-  /** Says why a job waits and what would change that, in plain text. */
+  /** Explains in plain text why a job waits and what would change that. */
   explain (identity: string, now: number): string {
     const entry = this.ledger.jobs.get(identity)
     if (entry === undefined) return 'the job is not open in this failure domain'
@@ -205,7 +206,7 @@
     return explainJob(entry, { ledger, reservations, health, thermalLimit, teams, gangReservations, thermalHeadroomThousandths }, this.inventoryComplete(now), now)
   }
 
-  /** Resources held and capacity of all workers that are not leaving. */
+  /** Returns the resources held on all workers, and the capacity of the listed workers that are not leaving. */
   utilization (): { used: Resources, capacity: Resources } {
     let used = NO_RESOURCES
     let capacity = NO_RESOURCES
@@ -248,11 +249,11 @@
     this.pendingDecisions.push({ kind: 'taskLost', task, worker })
   }
 
-  /** Looks at jobs that have changed: ends them, stops their tasks or queues them. The rest waits for the next decision. */
+  /** Ends changed jobs, stops their tasks or queues them. Jobs beyond the limit are left to the next pass. */
   private processChangedJobs (now: number, decisions: SchedulingDecision[]): void {
     let processed = 0
     for (const entry of this.changedJobs) {
-      if (++processed > CHANGED_JOBS_PER_DECISION) return
+      if (++processed > CHANGED_JOBS_PER_PASS) return
       this.changedJobs.delete(entry)
       this.endOrStopJob(entry, now, decisions)
       if (!entry.isWaiting || this.ledger.jobs.get(entry.job.identity) !== entry) continue
@@ -265,8 +266,8 @@
     while ((this.avoidedWorkers.peekValue() ?? Infinity) <= now) this.queue.noteCapacityIncrease(this.avoidedWorkers.pop() as WorkerEntry)
     this.queue.unparkFitting()
     let starts = 0
-    let failedTries = 0
-    while (starts < limit && failedTries < FAILED_TRIES_PER_DECISION) {
+    let failedPlacements = 0
+    while (starts < limit && failedPlacements < FAILED_PLACEMENTS_PER_PASS) {
       const next = this.queue.next(team => this.teams.dominantShare(team))
       if (next === undefined) {
         this.queue.endRound()
@@ -287,11 +288,11 @@
       if (job.rank === URGENT_RANK) this.urgentReservations.add(job)
       else if (job.job.kind === 'gang') this.gangReservations.add(job)
       this.queue.park(group)
-      failedTries += 1
+      failedPlacements += 1
     }
   }
 
-  /** Starts `wanted` tasks of a job, as many as fit; of a gang all or none. */
+  /** Starts as many of `wanted` tasks of a job as fit; for a gang, all or none. */
   private place (job: JobEntry, wanted: number, candidates: readonly WorkerEntry[] | undefined, now: number): SchedulingDecision[] {
     const placed: Array<{ task: TaskEntry, entry: WorkerEntry }> = []
     const accept = (entry: WorkerEntry): boolean => now >= entry.avoidUntil && this.health.accepts(entry, job, now) && this.reservations.allows(entry, job)
@@ -314,7 +315,7 @@
     return placed.map(({ task, entry }) => this.startDecision(task, entry, task.attempt as Attempt))
   }
 
-  /** Chooses a worker; for a service one of the racks with the fewest of its tasks, if such a rack has room. */
+  /** Chooses a worker; for a service, in one of the racks with the fewest of its tasks, if such a rack has capacity. */
   private chooseWorker (job: JobEntry, candidates: readonly WorkerEntry[] | undefined, accept: (entry: WorkerEntry) => boolean): WorkerEntry | undefined {
     const { resources, kind } = job.job
     const choose = (accepted: typeof accept): WorkerEntry | undefined => candidates === undefined ? this.policy.choose(resources, accepted) : bestFit(resources, candidates, accepted)
@@ -348,7 +349,7 @@
     this.ledger.stopCurrentAttempt(task, now, task.job.job.checkpointable)
   }
 
-  /** Treats deferrable jobs that have waited for long as normal, so that they are not passed over for ever. */
+  /** Treats deferrable jobs that have waited long enough as normal, which prevents starvation. */
   private promoteAgedJobs (now: number): void {
     while ((this.agingJobs.peekValue() ?? Infinity) <= now) {
       const job = this.agingJobs.pop() as JobEntry
@@ -375,7 +376,7 @@
     return found === undefined ? [] : [this.startDecision(found, entry, attempt)]
   }
 
-  /** Ends a job whose tasks have all ended, and stops the tasks of one that was cancelled or has failed. */
+  /** Ends a job whose tasks have all ended, and stops the tasks of a job that was cancelled or has failed. */
   private endOrStopJob (entry: JobEntry, now: number, decisions: SchedulingDecision[]): void {
     if (entry.endDecided || this.ledger.jobs.get(entry.job.identity) !== entry) return
     if (entry.counts.finished === entry.tasks.length) {
--- a/src/scheduling/taskLedger.ts
+++ b/src/scheduling/taskLedger.ts
@@ -7,25 +7,26 @@
 import type { TeamShares } from './teamShares.js'
 import { WorkerEntry } from './workerEntry.js'
 
-/** A worker that could not be reached, or refused a start, gets no start for this long, in milliseconds. */
+/** Time for which a worker that could not be reached or refused a start receives no starts, in milliseconds. */
+
 const AVOID_AFTER_REFUSAL_MILLISECONDS = 1000
 /**
- * Which attempt of which task is on which worker, as far as the owner knows. Resources of an attempt stay held until its end is
- * reported, a later report lacks it, its start was certainly not carried out, or its lease has certainly lapsed.
+ * Tracks which attempt of which task is on which worker, as far as the owner knows. The resources of an attempt stay held until
+ * its end is reported, a later report no longer lists it, its start was definitely not carried out, or its lease must have lapsed.
  */
 export class TaskLedger {
   readonly workers = new Map<string, WorkerEntry>()
   readonly jobs = new Map<string, JobEntry>()
-  /** A worker has seen a newer term: another instance owns the failure domain. */
+  /** Whether a worker has seen a newer term, which means that another instance owns the failure domain. */
   superseded = false
-  /** Tasks that have finished since the caller last emptied it, by job. */
+  /** Tasks that have finished since the caller last cleared the map, by job. */
   newlyFinished = new Map<string, number[]>()
-  /** Worker of each start command without an outcome, by the attempt's number. */
+  /** Worker of each start command without an outcome, by the attempt's sequence number. */
   private readonly startsInFlight = new Map<number, WorkerEntry>()
   private unreportedCount = 0
   private lastOrder = 0
   private readonly timers = new HoldTimers()
-  /** Workers that hold or report attempts of jobs that are not known here. */
+  /** Workers that hold or report attempts of unknown jobs, by job. */
   private readonly orphans = new Map<string, Set<WorkerEntry>>()
 
   constructor (private readonly term: number, private readonly observer: LedgerObserver, private readonly teams: TeamShares) {}
@@ -51,7 +52,7 @@
     }
   }
 
-  /** Forgets workers that left the list without a report. Before the leases of an earlier owner have lapsed they may still run its tasks. */
+  /** Removes workers that left the list without a report. Until the leases of an earlier owner have lapsed, they may still run its tasks. */
   forgetSilentWorkers (): void {
     if (this.unreportedCount === 0) return
     for (const [name, entry] of this.workers) {
@@ -70,7 +71,7 @@
     return added
   }
 
-  /** Forgets a job whose end is in the log; its ended attempts may then be forgotten by their workers. */
+  /** Removes a job whose end is in the log, so that workers may forget its ended attempts. */
   forgetJob (identity: string): void {
     const job = this.jobs.get(identity)
     if (job === undefined) return
@@ -86,7 +87,7 @@
     this.jobs.delete(identity)
   }
 
-  /** Marks a task as finished that the log says to be. */
+  /** Applies the end of a task that the log records as finished. */
   finishTask (job: string, index: number, now: number): void {
     const task = this.jobs.get(job)?.tasks[index]
     if (task === undefined) return
@@ -115,24 +116,24 @@
     return true
   }
 
-  /** Takes back a placement whose command was not sent. */
+  /** Undoes a placement whose command was not sent. */
   undoPlacement (task: TaskEntry): void {
     const entry = task.worker === undefined ? undefined : this.workers.get(task.worker)
     const hold = entry?.worker.find(task.task)
     if (entry !== undefined && hold !== undefined) this.release(entry, hold)
   }
 
-  /** Notes that a start command is on its way. */
+  /** Records that a start command is in flight. */
   trackStart (entry: WorkerEntry, attempt: Attempt): void {
     this.startsInFlight.set(attempt.sequence, entry)
   }
 
-  /** Whether a start command for the attempt has no outcome yet. It is not acknowledged then, or a late command would run it again. */
+  /** Returns whether a start command for the attempt has no outcome yet. Such an attempt is not acknowledged, or a delayed command would run it again. */
   isStartInFlight (attempt: Attempt): boolean {
     return attempt.term === this.term && this.startsInFlight.has(attempt.sequence)
   }
 
-  /** Takes note of the outcome of a start command. */
+  /** Processes the outcome of a start command. */
   onStartOutcome (task: string, attempt: Attempt, outcome: StartOutcome, now: number): void {
     const entry = this.startsInFlight.get(attempt.sequence)
     if (entry === undefined || attempt.term !== this.term) return
@@ -157,15 +158,15 @@
   }
 
   /**
-   * Takes note of a worker's report.
-   * @param requestedAt Time at which the request for it was sent. Whatever was confirmed before must be in it.
+   * Processes a worker's report.
+   * @param requestedAt Time at which the request for it was sent. The report must list every attempt that was confirmed before.
    */
   onReport (name: string, report: WorkerReport, now: number, requestedAt: number): void {
     const entry = this.workers.get(name)
     if (report.term > this.term) this.superseded = true
     if (entry === undefined || report.term !== this.term || requestedAt < entry.reportRequestedAt) return
-    const first = entry.reportedAt === undefined
-    if (first) this.unreportedCount -= 1
+    const isFirstReport = entry.reportedAt === undefined
+    if (isFirstReport) this.unreportedCount -= 1
     entry.reportedAt = now
     entry.reportRequestedAt = requestedAt
     entry.endedOrphans.clear()
@@ -183,10 +184,10 @@
       const reported = listed.get(task)
       if (reported === undefined || compareAttempts(reported, attempt) !== 0) entry.pendingAcknowledgements.delete(task)
     }
-    if (first) this.observer.onWorkerChanged(entry)
+    if (isFirstReport) this.observer.onWorkerChanged(entry)
   }
 
-  /** Orders the attempt that a task has at present to be stopped; with `checkpoint`, to be checkpointed first. */
+  /** Requests a stop of the current attempt of a task; with `checkpoint`, the attempt is checkpointed first. */
   stopCurrentAttempt (task: TaskEntry, now: number, checkpoint = false): void {
     const entry = task.worker === undefined ? undefined : this.workers.get(task.worker)
     const hold = entry?.worker.find(task.task)
@@ -195,17 +196,17 @@
     this.requestStop(entry, hold, now)
   }
 
-  /** Releases what is held by attempts whose lease has certainly lapsed. */
+  /** Releases the resources of attempts whose lease must have lapsed. */
   releaseLapsed (now: number): void {
     for (let held = this.timers.takeLapsed(now); held !== undefined; held = this.timers.takeLapsed(now)) this.reportLost(held.entry, held.hold)
   }
 
-  /** Returns at most `limit` holds whose stop is to be sent or whose start is to be repeated now. */
+  /** Returns at most `limit` holds whose stop must be sent or whose start must be repeated now. */
   takeCommands (now: number, limit: number): HeldAttempt[] {
     return this.timers.takeCommands(now, limit)
   }
 
-  /** Stops running attempts of jobs that are not known, and lets workers forget ended ones. To be called only when all open jobs are known. */
+  /** Stops running attempts of unknown jobs, and lets workers forget ended ones. Must be called only after all open jobs have been added. */
   resolveOrphans (now: number): void {
     for (const [job, holders] of this.orphans) {
       for (const entry of holders) {
@@ -224,7 +225,7 @@
     return this.jobs.get(jobOfTask(task))?.tasks[indexOfTask(task)]
   }
 
-  /** Repeats a start of unknown outcome at a worker that answers and does not have it. A silent worker gets none, so that the lease lapses. */
+  /** Repeats a start of unknown outcome on a worker that reports and does not list it. A silent worker receives none, so that the lease lapses. */
   private repeatStart (entry: WorkerEntry, hold: Hold, now: number, requestedAt: number): void {
     const stillWanted = hold.state === 'unknown' && entry.listed && !entry.worker.leaving
     if (!stillWanted || hold.uncertainAt === undefined || hold.uncertainAt >= requestedAt) return
@@ -303,7 +304,7 @@
     this.observer.onJobChanged(task.job)
   }
 
-  /** The report of a finished task stays at its worker until the log tells of it, for an owner that comes later. */
+  /** Processes a finished task. Its worker keeps the report until the log contains it, for a later owner. */
   private onFinished (entry: WorkerEntry, task: TaskEntry, reported: ReportedTask, now: number): void {
     if (task.phase === 'finished') {
       if (task.attempt === undefined || compareAttempts(task.attempt, reported.attempt) !== 0) entry.pendingAcknowledgements.set(reported.task, reported.attempt)
