--- a/src/scheduling/jobQueue.ts
+++ b/src/scheduling/jobQueue.ts
@@ -4,28 +4,28 @@
 import type { JobEntry } from './jobState.js'
 import type { WorkerEntry } from './workerEntry.js'
 
-/** Groups that are made ready in one decision at most; the rest follow in the next ones. */
-const UNPARKED_GROUPS_PER_DECISION = 200
+/** Number of groups after which a pass stops unparking shapes; the rest follow in later passes. */
+const UNPARKED_GROUPS_PER_PASS = 200
 
-/** Jobs of one urgency whose tasks have the same size. If the tasks of one do not fit, none do. */
+/** Jobs of one urgency whose tasks have the same size. If the tasks of one job do not fit, those of none do. */
 interface Shape {
   readonly rank: number
   readonly demand: Resources
   readonly groups: JobGroup[]
-  /** Nothing fits but perhaps on workers that have grown since. */
+  /** Does not fit, except perhaps on workers whose free capacity has increased since. */
   parked: boolean
-  /** It was parked before, so that only workers that have grown since can fit. */
+  /** Was parked before, so that only workers whose free capacity has increased can fit. */
   unparked: boolean
 }
 
-/** Waiting jobs of one team and shape, by age. */
+/** Waiting jobs of one team and shape, ordered by age. */
 export interface JobGroup {
   readonly shape: Shape
   readonly team: TeamQueue
   readonly jobs: FlatQueue<JobEntry>
 }
 
-/** Groups of one team and urgency that may fit, by the age of their oldest job. */
+/** Groups of one team and urgency that may fit, ordered by the age of their oldest job. */
 interface TeamQueue {
   readonly team: string
   readonly ready: FlatQueue<JobGroup>
@@ -38,22 +38,22 @@
   readonly parked: Set<Shape>
 }
 
-/** What to try next. If `candidates` is given, only these workers can have room. A gang may also need workers that had room before. */
+/** Job to try next. If `candidates` is given, only these workers can have enough capacity. A gang may also need workers that had capacity before. */
 export interface NextJob {
   readonly job: JobEntry
   readonly group: JobGroup
   readonly candidates: readonly WorkerEntry[] | undefined
 }
 
-/** Waiting jobs by urgency, team and age. Sizes that did not fit are set aside until a worker has grown enough for one task. */
+/** Waiting jobs by urgency, team and age. Shapes that did not fit are parked until the free capacity of a worker has increased enough for one task. */
 export class JobQueue {
   private readonly classes: readonly UrgencyClass[] = URGENCY_CLASSES.map(() => ({ teams: new Map(), shapes: new Map(), parked: new Set() }))
-  private readonly grownWorkers = new Set<WorkerEntry>()
+  private readonly workersWithMoreCapacity = new Set<WorkerEntry>()
   private candidates: readonly WorkerEntry[] = []
   private unparkedShapes: Shape[] = []
   private suspendedShapes: Shape[] = []
 
-  /** Adds a job with tasks to place, or does nothing if it is in the queue. */
+  /** Adds a job with tasks to place, or does nothing if it is already queued. */
   add (job: JobEntry): void {
     if (job.queued) return
     job.queued = true
@@ -62,15 +62,15 @@
     if (!group.shape.parked && group.jobs.peek() === job) group.team.ready.push(group, job.order)
   }
 
-  /** Notes that a worker has more free resources than before. */
+  /** Records that a worker has more free resources than before. */
   noteCapacityIncrease (entry: WorkerEntry): void {
-    this.grownWorkers.add(entry)
+    this.workersWithMoreCapacity.add(entry)
   }
 
-  /** Makes sizes ready that fit on a worker that has grown. */
+  /** Unparks shapes that fit on a worker whose free capacity has increased. */
   unparkFitting (): void {
-    if (this.grownWorkers.size === 0) return
-    this.candidates = [...this.grownWorkers]
+    if (this.workersWithMoreCapacity.size === 0) return
+    this.candidates = [...this.workersWithMoreCapacity]
     const front = paretoFront(this.candidates)
     let unparkedGroups = 0
     for (const { parked } of this.classes) {
@@ -82,20 +82,20 @@
         parked.delete(shape)
         for (const group of shape.groups) this.makeReady(group)
         unparkedGroups += shape.groups.length
-        if (unparkedGroups >= UNPARKED_GROUPS_PER_DECISION) return
+        if (unparkedGroups >= UNPARKED_GROUPS_PER_PASS) return
       }
     }
   }
 
-  /** Ends a round: every size that fits on a worker that has grown has been tried. */
+  /** Ends a round, after every shape that fits on a worker with increased capacity has been tried. */
   endRound (): void {
-    this.grownWorkers.clear()
+    this.workersWithMoreCapacity.clear()
     this.candidates = []
     for (const shape of this.unparkedShapes) shape.unparked = false
     this.unparkedShapes = []
   }
 
-  /** Returns the job to try next: of the most urgent class, of the team with the least share, the oldest. Undefined if none is ready. */
+  /** Returns the oldest job of the team with the smallest share, in the most urgent class that has a ready job; undefined if none is ready. */
   next (shareOf: (team: string) => number): NextJob | undefined {
     for (const { teams } of this.classes) {
       let best: NextJob | undefined
@@ -114,20 +114,20 @@
     return undefined
   }
 
-  /** Sets the size of a group's tasks aside until more is free. */
+  /** Parks the shape of a group until more capacity is free. */
   park (group: JobGroup): void {
     const { shape } = group
     shape.parked = true
     ;(this.classes[shape.rank] as UrgencyClass).parked.add(shape)
   }
 
-  /** Sets the size of a group's tasks aside until `wakeHeld`, whatever is free. */
+  /** Suspends the shape of a group until `resumeSuspended`, regardless of free capacity. */
   suspend (group: JobGroup): void {
     group.shape.parked = true
     this.suspendedShapes.push(group.shape)
   }
 
-  /** Makes all sizes ready that were set aside by `hold`. */
+  /** Makes all shapes ready that were suspended by `suspend`. */
   resumeSuspended (): void {
     for (const shape of this.suspendedShapes) {
       shape.parked = false
@@ -136,7 +136,7 @@
     this.suspendedShapes = []
   }
 
-  /** Returns the first job of the team that may fit, and drops what was set aside or has nothing to place. */
+  /** Returns the first job of the team that may fit, and removes groups that are parked or have nothing to place. */
   private head (team: TeamQueue): NextJob | undefined {
     for (let group = team.ready.peek(); group !== undefined; group = team.ready.peek()) {
       const job = group.shape.parked ? undefined : firstWaiting(group)
@@ -176,7 +176,7 @@
   }
 }
 
-/** Free resources that are not covered by those of another worker. */
+/** Returns the free resources that are not covered by those of another worker. */
 function paretoFront (entries: readonly WorkerEntry[]): Resources[] {
   const front: Resources[] = []
   for (const { schedulable, worker: { free } } of entries) {
@@ -189,7 +189,7 @@
   return front
 }
 
-/** Drops jobs that have nothing to place from the front of a group. They are added again when they have. */
+/** Returns the first waiting job of a group and removes those before it, which are added again when they have tasks to place. */
 function firstWaiting (group: JobGroup): JobEntry | undefined {
   for (let job = group.jobs.peek(); job !== undefined; job = group.jobs.peek()) {
     if (job.isWaiting && job.rank === group.shape.rank) return job
--- a/src/scheduling/jobState.ts
+++ b/src/scheduling/jobState.ts
@@ -5,7 +5,7 @@
 
 export type TaskPhase = 'waiting' | 'starting' | 'running' | 'stopping' | 'finished'
 
-/** One task of a job. `attempt` and `worker` name its current attempt while it is starting, running or stopping. */
+/** One task of a job. `attempt` and `worker` are those of its current attempt while it is starting, running or stopping. */
 export interface TaskEntry {
   readonly job: JobEntry
   readonly task: string
@@ -13,26 +13,26 @@
   phase: TaskPhase
   attempt: Attempt | undefined
   worker: string | undefined
-  /** Workers that hold any attempt of the task. It is placed only when there are none. */
+  /** Number of workers that hold any attempt of the task. The task is placed only if there are none. */
   holdCount: number
   checkpointMilliseconds: number
   /** Start of the current attempt, and the last preemption, in monotonic milliseconds of the owner. */
   startedAt: number
   preemptedAt: number
-  /** Failed attempts, all and by worker. */
+  /** Failed attempts, in total and by worker. */
   failures: number
   readonly failedOn: Map<string, number>
 }
 
-/** An open job and its tasks, with counts by phase that are kept up to date at each change. */
+/** An open job and its tasks, with counts by phase that are updated on each change. */
 export class JobEntry {
   readonly tasks: readonly TaskEntry[]
   /** Tasks that may be placed: waiting and held by no worker. */
   readonly placeable: Set<TaskEntry>
-  /** Rank of urgency by which it is placed. */
+  /** Urgency rank by which it is placed. */
   rank: number
   readonly counts: Record<TaskPhase, number> = { waiting: 0, starting: 0, running: 0, stopping: 0, finished: 0 }
-  /** Workers that hold an attempt of any task. */
+  /** Sum of the hold counts of all tasks. */
   holdCount = 0
   /** Whether it is in the queue of waiting jobs. */
   queued = false
@@ -42,8 +42,8 @@
   failure: string | undefined
 
   /**
-   * @param order Place in the order of acceptance.
-   * @param mayAlreadyBePlaced Whether an earlier owner may have placed tasks, so that placing waits for the inventory of every worker.
+   * @param order Position in the order of acceptance.
+   * @param mayAlreadyBePlaced Whether an earlier owner may have placed tasks, so that placement waits for the inventory of every worker.
    */
   constructor (readonly job: Job, readonly addedAt: number, readonly order: number, readonly mayAlreadyBePlaced: boolean, private readonly teamUsage: TeamUsage) {
     this.rank = urgencyRank(job.urgency)
@@ -61,7 +61,7 @@
     this.updatePlaceable(task)
   }
 
-  /** Notes that one more (1) or one fewer (-1) worker holds an attempt of the task. */
+  /** Records that one more (1) or one fewer (-1) worker holds an attempt of the task. */
   changeHoldCount (task: TaskEntry, change: 1 | -1): void {
     task.holdCount += change
     this.holdCount += change
@@ -75,7 +75,7 @@
     return this.job.kind !== 'gang' || this.placeable.size === this.counts.waiting
   }
 
-  /** Takes what is still held out of the team's use when the job is forgotten. */
+  /** Subtracts what is still held from the team's usage when the job is removed. */
   releaseTeamUsage (): void {
     for (let hold = 0; hold < this.holdCount; hold += 1) this.teamUsage.adjust(this.job.resources, -1)
   }
@@ -91,22 +91,22 @@
   }
 }
 
-/** Name of a job's task. */
+/** Returns the name of a job's task. */
 export function taskName (job: string, index: number): string {
   return `${job}#${index}`
 }
 
-/** Job that a task's name names. */
+/** Returns the job that the name of a task contains. */
 export function jobOfTask (task: string): string {
   return task.slice(0, task.lastIndexOf('#'))
 }
 
-/** Index within its job that a task's name names. */
+/** Returns the index within its job that the name of a task contains. */
 export function indexOfTask (task: string): number {
   return Number(task.slice(task.lastIndexOf('#') + 1))
 }
 
-/** Negative if `left` is the earlier attempt, positive if it is the later, 0 if they are the same. */
+/** Returns a negative number if `left` is the earlier attempt, a positive one if it is the later, 0 if they are the same. */
 export function compareAttempts (left: Attempt, right: Attempt): number {
   return left.term - right.term || left.sequence - right.sequence
 }
--- a/src/scheduling/placementPolicy.ts
+++ b/src/scheduling/placementPolicy.ts
@@ -4,14 +4,14 @@
 
 /** Chooses a worker for a task. */
 export abstract class PlacementPolicy {
-  /** Takes note of changed free resources of a worker. One that is not `present` is not chosen until it is again. */
+  /** Updates the free resources of a worker. A worker that is not `schedulable` is not chosen until it is again. */
   abstract onWorkerChanged (entry: WorkerEntry, schedulable: boolean): void
 
   /** Returns an accepted worker on which the demand fits now, or undefined if there is none. */
   abstract choose (demand: Resources, accept: (entry: WorkerEntry) => boolean): WorkerEntry | undefined
 }
 
-/** Chooses among fitting workers by what is left over, and keeps accelerators for those who need them; reads an index. */
+/** Chooses a fitting worker with little capacity left over from an index, and keeps accelerators for the tasks that need them. */
 export class BestFitPolicy extends PlacementPolicy {
   private readonly index = new WorkerIndex()
 
@@ -24,7 +24,7 @@
   }
 }
 
-/** Baseline: reads every worker and takes the one with the least left over. */
+/** Baseline: examines every worker and chooses the one with the least capacity left over. */
 export class FullScanBestFitPolicy extends PlacementPolicy {
   private readonly workers = new Set<WorkerEntry>()
 
@@ -38,7 +38,7 @@
   }
 }
 
-/** The accepted worker with room for the demand that has the least left over, or undefined if there is none. */
+/** Returns the accepted worker that fits the demand with the least left over, or undefined if there is none. */
 export function bestFit (demand: Resources, workers: Iterable<WorkerEntry>, accept: (entry: WorkerEntry) => boolean): WorkerEntry | undefined {
   let best: WorkerEntry | undefined
   let bestScore = Infinity
--- a/src/scheduling/rackSpread.ts
+++ b/src/scheduling/rackSpread.ts
@@ -1,7 +1,7 @@
 import type { JobEntry } from './jobState.js'
 import type { WorkerEntry } from './workerEntry.js'
 
-/** Chooses a worker in one of the racks with the fewest tasks of the job, if such a rack has room; otherwise any worker. */
+/** Chooses a worker in one of the racks with the fewest tasks of the job, if such a rack has capacity; otherwise any worker. */
 export function chooseSpreadOverRacks (job: JobEntry, rackOf: (worker: string) => string | undefined, choose: (accepts: (entry: WorkerEntry) => boolean) => WorkerEntry | undefined): WorkerEntry | undefined {
   const racks = new Map<string, number>()
   for (const { worker } of job.tasks) {
--- a/src/scheduling/workerHealth.ts
+++ b/src/scheduling/workerHealth.ts
@@ -1,13 +1,13 @@
 import type { JobEntry, TaskEntry } from './jobState.js'
 import type { WorkerEntry } from './workerEntry.js'
 
-/** Failed attempts in a row after which a worker is suspected. */
+/** Consecutive failed attempts after which a worker is quarantined. */
 const FAILURES_BEFORE_QUARANTINE = 3
-/** Jobs that must be among them, so that one bad job does not quarantine workers. */
+/** Number of different jobs that must be among them, so that one bad job does not quarantine workers. */
 const JOBS_BEFORE_QUARANTINE = 2
-/** A job that has failed on this many workers is itself at fault; its failures say nothing about a worker. */
+/** A job that has failed on this many workers is itself considered faulty; its failures do not count against workers. */
 const WORKERS_BEFORE_JOB_SUSPECTED = 3
-/** First quarantine; each further one within the memory below lasts twice as long, up to the longest. In milliseconds. */
+/** First quarantine; each further one within the history period lasts twice as long, up to the longest. In milliseconds. */
 const FIRST_QUARANTINE_MILLISECONDS = 60_000
 const LONGEST_QUARANTINE_MILLISECONDS = 960_000
 const QUARANTINE_HISTORY_MILLISECONDS = 3_600_000
@@ -16,7 +16,7 @@
   /** Attempts that have failed since the last one that finished. */
   failed: TaskEntry[]
   quarantinedUntil: number | undefined
-  /** Quarantines so far, for their length, and the end of the last one. */
+  /** Number of quarantines, which sets the length of the next, and the end of the last one. */
   quarantines: number
   releasedAt: number
 }
@@ -29,8 +29,8 @@
 }
 
 /**
- * Tells workers that fail everything from jobs that fail everywhere by counting distinct jobs and workers.
- * A quarantined worker gets nothing for a while, then one deferrable task as a probe; only a finished task releases it.
+ * Distinguishes workers on which everything fails from jobs that fail everywhere, by counting distinct jobs and workers.
+ * A quarantined worker receives no tasks until its quarantine ends, then one deferrable task as a probe; only a finished task releases it.
  */
 export class WorkerHealth {
   private readonly health = new Map<WorkerEntry, Health>()
@@ -43,7 +43,7 @@
     return now >= until && job.job.urgency === 'deferrable' && job.job.kind === 'batch' && entry.worker.heldCount === 0
   }
 
-  /** End of the worker's quarantine, or undefined if it is not in one. A probe may run after it. */
+  /** Returns the end of the worker's quarantine, or undefined if it is not quarantined. A probe may run after it. */
   quarantinedUntil (entry: WorkerEntry): number | undefined {
     return this.health.get(entry)?.quarantinedUntil
   }
@@ -87,7 +87,7 @@
     this.health.delete(entry)
   }
 
-  /** A failure on a worker that fails everything does not count against the task. */
+  /** Removes the failures of a task on a worker that fails everything, so that they do not count against the task. */
   private removeFailures (task: TaskEntry, entry: WorkerEntry): void {
     const count = task.failedOn.get(entry.worker.name) ?? 0
     task.failures -= count
--- a/src/scheduling/workerIndex.ts
+++ b/src/scheduling/workerIndex.ts
@@ -1,30 +1,30 @@
 import { fitsWithin, type Resources } from '../contracts/resources.js'
 import type { WorkerEntry } from './workerEntry.js'
 
-/** Classes of free accelerators; more than that share the last class. */
+/** Classes of free accelerators; workers with more share the last class. */
 const ACCELERATOR_CLASSES = 17
 /** Classes of free processors and memory: four for each doubling, so that workers of one class differ by less than a fifth. */
 const CLASSES_PER_DOUBLING = 4
 const PROCESSOR_CLASSES = 96
 const MEMORY_CLASSES = 96
-/** Words of 32 bits for the memory classes of one row. */
+/** Number of 32-bit words for the memory classes of one row. */
 const WORDS_PER_ROW = MEMORY_CLASSES / 32
 const MEMORY_UNIT_BYTES = 2 ** 20
-/** Fitting workers that are compared before the best of them is taken. */
+/** Number of fitting workers that are compared before the best of them is chosen. */
 const CANDIDATES_TO_COMPARE = 8
-/** Workers of one class that are tried before the search goes on; the rest of the class is tried only if nothing else fits. */
+/** Workers of one cell that are tried before the search moves on; the rest of the cell is tried only if nothing else fits. */
 const TRIES_PER_CELL = 32
 
-/** Workers by free accelerators, processors and memory in classes; each change of a worker moves it in constant time. */
+/** Index of workers by classes of free accelerators, processors and memory. Updating a worker takes constant time. */
 export class WorkerIndex {
   private readonly cells: Array<WorkerEntry[] | undefined> = Array.from({ length: ACCELERATOR_CLASSES * PROCESSOR_CLASSES * MEMORY_CLASSES })
-  /** Memory classes that have workers, as bits by accelerator and processor class. */
+  /** Bitmap of the memory classes that contain workers, by accelerator and processor class. */
   private readonly occupied = new Uint32Array(ACCELERATOR_CLASSES * PROCESSOR_CLASSES * WORDS_PER_ROW)
   /** Number of workers by accelerator and processor class. */
   private readonly rowCounts = new Uint32Array(ACCELERATOR_CLASSES * PROCESSOR_CLASSES)
   private readonly layerCounts = new Uint32Array(ACCELERATOR_CLASSES)
 
-  /** Puts a worker where its free resources belong, or takes it out if it is not `present`. */
+  /** Moves a worker to the cell of its free resources, or removes it if it is not `schedulable`. */
   update (entry: WorkerEntry, schedulable: boolean): void {
     const cell = schedulable ? cellOf(entry.worker.free) : -1
     if (cell === entry.indexCell) return
@@ -32,7 +32,7 @@
     if (cell >= 0) this.insert(entry, cell)
   }
 
-  /** Returns an accepted worker with room for the demand that has little left over, or undefined if there is none. */
+  /** Returns an accepted worker that fits the demand with little left over, or undefined if there is none. */
   choose (demand: Resources, accept: (entry: WorkerEntry) => boolean): WorkerEntry | undefined {
     const search = new BestFitSearch(demand, accept)
     const skipped: WorkerEntry[][] = []
@@ -58,7 +58,7 @@
     return undefined
   }
 
-  /** Returns the next memory class of a row that has workers, or -1. */
+  /** Returns the next memory class of a row that contains workers, or -1. */
   private nextColumn (row: number, from: number): number {
     for (let word = from >> 5; word < WORDS_PER_ROW; word += 1) {
       const bits = (this.occupied[row * WORDS_PER_ROW + word] as number) & (word === from >> 5 ? -1 << (from & 31) : -1)
@@ -103,7 +103,7 @@
   }
 }
 
-/** Keeps the best of the workers tried so far. */
+/** Tracks the best of the workers tried so far. */
 class BestFitSearch {
   best: WorkerEntry | undefined
   fittingCount = 0
@@ -111,7 +111,7 @@
 
   constructor (private readonly demand: Resources, private readonly accept: (entry: WorkerEntry) => boolean) {}
 
-  /** Tries at most `limit` workers; returns whether some were left out. */
+  /** Tries at most `limit` workers; returns whether some were skipped. */
   tryWorkers (workers: readonly WorkerEntry[], limit: number): boolean {
     const count = Math.min(workers.length, limit)
     for (let index = 0; index < count; index += 1) {
@@ -129,7 +129,7 @@
   }
 }
 
-/** Share of a worker that a demand leaves free; accelerators that the demand has no use for count most. */
+/** Returns the share of a worker that a demand leaves free; unneeded accelerators have the greatest weight. */
 export function leftoverScore (demand: Resources, entry: WorkerEntry): number {
   const { free, description: { capacity } } = entry.worker
   const processors = (free.processorsThousandths - demand.processorsThousandths) / Math.max(1, capacity.processorsThousandths)
