--- a/src/scheduling/capacityReservations.ts
+++ b/src/scheduling/capacityReservations.ts
@@ -2,22 +2,22 @@
 import type { JobEntry } from './jobState.js'
 import type { WorkerEntry } from './workerEntry.js'
 
-/** Room on a worker that is kept for a waiting job. */
+/** Capacity on a worker that is reserved for a waiting job. */
 export interface CapacityReservation {
   readonly entry: WorkerEntry
   readonly job: JobEntry
   readonly resources: Resources
   readonly expiresAt: number
-  /** Whether deferrable tasks that can be checkpointed may use the room until the claim is closed. */
+  /** Whether deferrable tasks that can be checkpointed may use the capacity until the reservation is closed to them. */
   openToBackfill: boolean
 }
 
-/** Room that is kept for waiting jobs while it becomes free. Other jobs get only what is beyond it. */
+/** Capacity that is reserved for waiting jobs while it becomes free. Other jobs get only the capacity beyond it. */
 export class CapacityReservations {
   private readonly byWorker = new Map<WorkerEntry, CapacityReservation[]>()
   private readonly byJob = new Map<JobEntry, CapacityReservation[]>()
 
-  /** @param onReleased Called when a worker has more room for other jobs again. */
+  /** @param onReleased Called when a worker has more capacity for other jobs again. */
   constructor (private readonly onReleased: (entry: WorkerEntry) => void) {}
 
   get size (): number {
@@ -37,7 +37,7 @@
     append(this.byJob, reservation.job, reservation)
   }
 
-  /** Whether the worker has room for one task of the job beside what is kept for others. */
+  /** Returns whether the worker has capacity for one task of the job beyond what is reserved for others. */
   allows (entry: WorkerEntry, job: JobEntry): boolean {
     const reservations = this.byWorker.get(entry)
     if (reservations === undefined) return true
@@ -45,7 +45,7 @@
     return fitsWithin(job.job.resources, subtractResources(entry.worker.free, reserved))
   }
 
-  /** Drops all claims of a job. */
+  /** Releases all reservations of a job. */
   releaseAll (job: JobEntry): void {
     for (const reservation of this.forJob(job)) {
       const rest = this.onWorker(reservation.entry).filter(other => other !== reservation)
@@ -56,13 +56,13 @@
     this.byJob.delete(job)
   }
 
-  /** Drops one reservation of a job on a worker, whose room it has taken. */
+  /** Releases one reservation of a job on a worker, after a task of the job has been placed there. */
   consume (job: JobEntry, entry: WorkerEntry): void {
     const used = this.forJob(job).find(reservation => reservation.entry === entry)
     if (used !== undefined) this.releaseWhere(job, reservation => reservation === used)
   }
 
-  /** Drops what has not been used in time, and claims of jobs that no longer wait. */
+  /** Releases reservations that were not used in time or whose worker is not schedulable, and those of jobs that no longer wait. */
   expire (now: number): void {
     for (const job of this.byJob.keys()) {
       if (!job.isWaiting) this.releaseAll(job)
@@ -71,14 +71,14 @@
   }
 
   private releaseWhere (job: JobEntry, matches: (reservation: CapacityReservation) => boolean): void {
-    const kept = this.forJob(job).filter(reservation => !matches(reservation))
-    if (kept.length === this.forJob(job).length) return
+    const remaining = this.forJob(job).filter(reservation => !matches(reservation))
+    if (remaining.length === this.forJob(job).length) return
     this.releaseAll(job)
-    for (const reservation of kept) this.add(reservation)
+    for (const reservation of remaining) this.add(reservation)
   }
 }
 
-/** Whether tasks of a job may use room that is kept for a gang: they can give it back without lost work, whatever their run time. */
+/** Returns whether tasks of a job may use capacity that is reserved for a gang: they can release it without lost work, whatever their run time. */
 export function isBackfillJob (job: JobEntry): boolean {
   return job.job.urgency === 'deferrable' && job.job.checkpointable && job.job.kind === 'batch'
 }
--- a/src/scheduling/gangReservationPlanner.ts
+++ b/src/scheduling/gangReservationPlanner.ts
@@ -4,14 +4,14 @@
 import type { JobEntry, TaskEntry } from './jobState.js'
 import type { WorkerEntry } from './workerEntry.js'
 
-/** A gang that has waited for this long gets a reservation, in milliseconds. */
+/** Waiting time after which a gang gets a reservation, in milliseconds. */
 const RESERVE_AFTER_MILLISECONDS = 10_000
-/** After this time other workers may have become the better choice, in milliseconds. */
+/** Lifetime of a reservation; after it, other workers may have become the better choice. In milliseconds. */
 const RESERVATION_MILLISECONDS = 300_000
 
 /**
- * Keeps room for the gang that comes first among those that wait. There is one reservation at a time, so that two gangs
- * never hold half of what they need. No run time is assumed: meanwhile the room is used by tasks that can be checkpointed.
+ * Reserves capacity for the first of the waiting gangs. Only one gang has a reservation at a time, so that two gangs never each
+ * hold half of what they need. Run times are not assumed to be known: meanwhile, tasks that can be checkpointed use the capacity.
  */
 export class GangReservationPlanner {
   private readonly waiting = new Set<JobEntry>()
@@ -19,7 +19,7 @@
 
   constructor (private readonly reservations: CapacityReservations, private readonly findTask: (task: string) => TaskEntry | undefined) {}
 
-  /** Notes that a gang did not fit. */
+  /** Records that a gang did not fit. */
   add (job: JobEntry): void {
     this.waiting.add(job)
   }
@@ -29,7 +29,7 @@
     return this.reserved
   }
 
-  /** Gives up a reservation that has been used or has expired, and makes the next one. */
+  /** Releases a reservation that has been used or has expired, and makes the next one. */
   update (workers: Iterable<WorkerEntry>, now: number): void {
     if (this.reserved !== undefined && (!this.reserved.isWaiting || this.reservations.forJob(this.reserved).length === 0)) {
       this.reservations.releaseAll(this.reserved)
@@ -41,7 +41,7 @@
     this.reserved = this.reserve(first, workers, now) ? first : undefined
   }
 
-  /** Once all room would be free without backfilling tasks, closes the claims and returns the tasks to preempt. */
+  /** Once all reserved capacity would be free without backfill tasks, closes the reservations to backfill and returns the tasks to preempt. */
   takeBackfill (): TaskEntry[] {
     const reservations = this.reserved === undefined ? [] : this.reservations.forJob(this.reserved)
     const tasks: TaskEntry[] = []
@@ -73,7 +73,7 @@
     return first
   }
 
-  /** Claims workers that come closest to having room. Running services never end, so what they hold does not count. */
+  /** Reserves capacity on the workers that come closest to having it free. Services never end, so what they hold does not count as capacity. */
   private reserve (job: JobEntry, workers: Iterable<WorkerEntry>, now: number): boolean {
     const demand = job.job.resources
     const choices: Array<{ entry: WorkerEntry, tasks: number, freeTasks: number }> = []
--- a/src/scheduling/preemptionPlanner.ts
+++ b/src/scheduling/preemptionPlanner.ts
@@ -3,13 +3,13 @@
 import type { JobEntry, TaskEntry } from './jobState.js'
 import type { WorkerEntry } from './workerEntry.js'
 
-/** Workers that one search for a place reads at most. */
+/** Maximum number of workers that one search examines. */
 const WORKERS_PER_SEARCH = 500
-/** A preempted task is preempted again within this time only if nothing else would do, in milliseconds. */
+/** Time after a preemption within which a task is preempted again only if there is no alternative, in milliseconds. */
 const PROTECTED_AFTER_PREEMPTION_MILLISECONDS = 300_000
-/** Work lost by a task that can be checkpointed, in milliseconds of run time. */
+/** Run time that a task that can be checkpointed loses, in milliseconds. */
 const LOST_AT_CHECKPOINT_MILLISECONDS = 1000
-/** Added for a task that was preempted a short while ago; above any run time. */
+/** Added to the cost of a task that was preempted recently; greater than any run time. */
 const PROTECTION_COST_MILLISECONDS = 1e10
 
 /** Deferrable tasks to stop on a worker so that one task of a job fits there. */
@@ -18,13 +18,13 @@
   readonly victims: readonly TaskEntry[]
 }
 
-/** Finds deferrable tasks to preempt for urgent ones, with the least lost work. Reads a bounded number of workers, in turn. */
+/** Finds deferrable tasks to preempt for urgent ones, with the least lost work. Each search examines a bounded number of workers and continues after those of the previous one. */
 export class PreemptionPlanner {
   private nextWorkerIndex = 0
 
   constructor (private readonly reservations: CapacityReservations, private readonly findTask: (task: string) => TaskEntry | undefined) {}
 
-  /** @param preempted Tasks that are to be preempted already; what they hold counts as free. */
+  /** @param preempted Tasks that are already to be preempted; the resources that they hold count as free. */
   plan (job: JobEntry, workers: readonly WorkerEntry[], preempted: ReadonlySet<string>, now: number): PreemptionPlan | undefined {
     let best: PreemptionPlan | undefined
     let bestCost = Infinity
@@ -65,12 +65,12 @@
   }
 }
 
-/** Whether tasks of a job may be stopped in favour of urgent work. */
+/** Returns whether tasks of a job may be stopped in favour of urgent work. */
 export function isPreemptible (job: JobEntry): boolean {
   return job.job.urgency === 'deferrable'
 }
 
-/** Run time that would be lost by preempting a task, in milliseconds, and more for one that was preempted a short while ago. */
+/** Returns the run time that preempting a task would lose, in milliseconds; greater for a task that was preempted recently. */
 function lostWorkMilliseconds (task: TaskEntry, now: number): number {
   const lost = task.job.job.checkpointable ? LOST_AT_CHECKPOINT_MILLISECONDS : now - task.startedAt
   const recentlyPreempted = now - task.preemptedAt < PROTECTED_AFTER_PREEMPTION_MILLISECONDS
--- a/src/scheduling/thermalLimit.ts
+++ b/src/scheduling/thermalLimit.ts
@@ -1,23 +1,26 @@
 import type { JobEntry, TaskEntry } from './jobState.js'
 import type { WorkerEntry } from './workerEntry.js'
 
-/** Rise of the allowed share once capacity returns, in percent a second, so that waiting work does not start in one surge. */
+/** Rate at which the effective limit rises to a higher target, in percent per second, so that waiting work does not start in one surge. */
 const RISE_PERCENT_PER_SECOND = 1
-/** A task that cannot be checkpointed is throttled to this share of its speed. */
+/** Share of its full speed to which a task that cannot be checkpointed is throttled, in percent. */
 export const THROTTLE_PERCENT = 50
 
-/** Tasks to checkpoint, to throttle and to run at full speed again, and what may still be started. */
+/** Tasks to checkpoint, to throttle and to restore to full speed, and the processors that may still be started. */
 export interface ThermalPlan {
   readonly checkpoint: TaskEntry[]
   readonly throttle: TaskEntry[]
   readonly restore: TaskEntry[]
-  /** Processors that may be started, in thousandths; Infinity without a limit. */
+  /** Processors that may still be started, in thousandths; Infinity without a limit. */
   readonly headroomThousandths: number
 }
 
 const NO_LIMIT: ThermalPlan = { checkpoint: [], throttle: [], restore: [], headroomThousandths: Infinity }
 
-/** Keeps the processors in use below the allowed share of all workers. A lower share holds at once, a higher one is approached slowly. */
+/**
+ * Keeps the processors in use below the share of the workers' capacity that the operator allows while a failure domain runs hot.
+ * A lower share takes effect immediately; a higher one is approached gradually.
+ */
 export class ThermalLimit {
   private targetPercent = 100
   private currentPercent = 100
@@ -86,7 +89,7 @@
   }
 }
 
-/** Whether tasks of a job start although the allowed share is used up: urgent work and services are limited by workers only. */
+/** Returns whether tasks of a job start even if the allowed share is used up: urgent work and services are limited only by the workers. */
 export function isExemptFromThermalLimit (job: JobEntry): boolean {
   return job.job.urgency === 'urgent' || job.job.kind === 'service'
 }
--- a/src/scheduling/urgentReservationPlanner.ts
+++ b/src/scheduling/urgentReservationPlanner.ts
@@ -3,23 +3,23 @@
 import type { PreemptionPlan, PreemptionPlanner } from './preemptionPlanner.js'
 import type { WorkerEntry } from './workerEntry.js'
 
-/** Places that are made by preemption in one decision at most. */
-const PREEMPTIONS_PER_DECISION = 50
-/** Room that is made by preemption is kept for this long: the bound on a checkpoint, the stop after it, and its report. */
+/** Maximum number of tasks for which one pass frees capacity by preemption. */
+const PREEMPTIONS_PER_PASS = 50
+/** Lifetime of a reservation, in milliseconds: the bound on a checkpoint, the stop after it, and its report. */
 const RESERVATION_MILLISECONDS = 8000
 
-/** Makes room for urgent jobs that did not fit, and keeps it for them. */
+/** Frees capacity by preemption for urgent jobs that did not fit, and reserves it for them. */
 export class UrgentReservationPlanner {
   private readonly waiting = new Set<JobEntry>()
 
   constructor (private readonly reservations: CapacityReservations, private readonly planner: PreemptionPlanner) {}
 
-  /** Notes that an urgent job did not fit. */
+  /** Records that an urgent job did not fit. */
   add (job: JobEntry): void {
     this.waiting.add(job)
   }
 
-  /** Claims room for tasks that have none yet and returns what is to be preempted for it. */
+  /** Reserves capacity for tasks that have no reservation yet, and returns what must be preempted to free it. */
   plan (allWorkers: Iterable<WorkerEntry>, now: number): Array<PreemptionPlan & { readonly job: JobEntry }> {
     const plans: Array<PreemptionPlan & { readonly job: JobEntry }> = []
     if (this.waiting.size === 0) return plans
@@ -31,7 +31,7 @@
         continue
       }
       for (let missing = job.placeable.size - this.reservations.forJob(job).length; missing > 0; missing -= 1) {
-        if (plans.length >= PREEMPTIONS_PER_DECISION) return plans
+        if (plans.length >= PREEMPTIONS_PER_PASS) return plans
         const plan = this.planner.plan(job, workers, victims, now)
         if (plan === undefined) break
         this.reservations.add({ entry: plan.entry, job, resources: job.job.resources, expiresAt: now + RESERVATION_MILLISECONDS, openToBackfill: false })
