--- a/src/scheduling/jobRegistry.ts
+++ b/src/scheduling/jobRegistry.ts
@@ -1,7 +1,7 @@
 import type { StoredRecord } from '../contracts/records.js'
 import type { Job, JobOutcome } from '../contracts/jobs.js'
 
-/** A job as the log tells it. */
+/** A job as the log records it. */
 export interface RegisteredJob {
   readonly job: Job
   readonly failureDomain: string
@@ -12,14 +12,14 @@
   reason: string | undefined
 }
 
-/** Jobs of a failure domain, built from the records of its stream. Ended jobs are kept for a while so that callers can read them. */
+/** Jobs of a failure domain, built from the records of its stream. The most recently ended jobs are kept so that callers can read them. */
 export class JobRegistry {
   private readonly jobs = new Map<string, RegisteredJob>()
   private readonly endedJobs: string[] = []
 
   constructor (private readonly maximumEndedJobs: number) {}
 
-  /** Applies a record in log order. A re-append of a known job has no further effect. */
+  /** Applies a record in log order. A repeated record of a known job has no further effect. */
   apply (record: StoredRecord): void {
     const { body } = record
     switch (body.type) {
@@ -46,7 +46,7 @@
     return this.jobs.get(identity)
   }
 
-  /** Jobs that have not ended, in order of acceptance. */
+  /** Returns the jobs that have not ended, in order of acceptance. */
   openJobs (): RegisteredJob[] {
     return [...this.jobs.values()].filter(registered => registered.outcome === undefined)
   }
@@ -66,7 +66,7 @@
   }
 }
 
-/** Task indexes of inclusive ranges, below `tasks`. */
+/** Returns the task indexes of inclusive ranges, below `tasks`. */
 export function expandIndexRanges (ranges: ReadonlyArray<readonly [number, number]>, tasks: number): number[] {
   const indexes: number[] = []
   for (const [first, last] of ranges) {
@@ -75,7 +75,7 @@
   return indexes
 }
 
-/** Inclusive ranges of task indexes. */
+/** Returns the inclusive ranges of task indexes. */
 export function toIndexRanges (indexes: Iterable<number>): Array<[number, number]> {
   const ranges: Array<[number, number]> = []
   for (const index of [...indexes].sort((left, right) => left - right)) {
--- a/src/scheduling/teamShares.ts
+++ b/src/scheduling/teamShares.ts
@@ -1,6 +1,6 @@
 import { addResources, NO_RESOURCES, subtractResources, type Resources } from '../contracts/resources.js'
 
-/** What the tasks of a team hold at present. */
+/** Resources that the tasks of a team hold at present. */
 export class TeamUsage {
   used = NO_RESOURCES
 
@@ -9,7 +9,7 @@
   }
 }
 
-/** Quotas of teams and what they use. A team may use more than its quota while others leave theirs. */
+/** Quotas of teams and their usage. A team may use more than its quota while others leave theirs unused. */
 export class TeamShares {
   private readonly usages = new Map<string, TeamUsage>()
   private quotas: Readonly<Record<string, { quota: Resources }>> = {}
@@ -27,7 +27,7 @@
     return usage
   }
 
-  /** Greatest share of its quota that a team uses over the three resources; 1 is the whole quota. */
+  /** Returns the greatest share of its quota that a team uses over the three resources; 1 is the whole quota. */
   dominantShare (team: string): number {
     const { used } = this.usageOf(team)
     const quota = this.quotas[team]?.quota ?? NO_RESOURCES
