--- a/test/scheduling/faults.test.ts
+++ b/test/scheduling/faults.test.ts
@@ -2,9 +2,9 @@
 import { describe, it } from 'node:test'
 import { FOUR_WORKERS, SimulatedSite, size } from './simulatedSite.js'
 
-/** Each case guards against a fault of workers, jobs or cooling that spreads, or against a wrong explanation. */
+/** Each case guards against a faulty worker, a faulty job or a thermal limit that affects unrelated work, or against a wrong explanation. */
 const CASES: ReadonlyArray<readonly [name: string, run: (site: SimulatedSite) => void]> = [
-  ['a worker that fails everything is quarantined within a few starts, and no job fails for it', site => {
+  ['a worker that fails everything is quarantined within a few starts, and no job fails because of it', site => {
     site.failing = worker => worker === 'w2'
     for (let index = 0; index < 16; index += 1) site.add(`job-${index}`, {})
     site.run(20_000)
@@ -35,7 +35,7 @@
     assert.deepEqual(site.lines.filter(line => line.startsWith('worker')), [])
     assert.equal(site.running('good'), 8)
   }],
-  ['heat checkpoints deferrable tasks and leaves normal, urgent work and services alone', site => {
+  ['a thermal limit checkpoints deferrable tasks and does not affect normal and urgent work and services', site => {
     site.add('normal', { tasks: 4 })
     site.add('front', { kind: 'service', tasks: 2 })
     site.add('batch', { urgency: 'deferrable', checkpointable: true, tasks: 10 })
@@ -47,7 +47,7 @@
     site.run(1000)
     assert.equal(site.running('call'), 4)
   }],
-  ['heat throttles deferrable tasks that cannot be checkpointed, and restores them when it has passed', site => {
+  ['a thermal limit throttles deferrable tasks that cannot be checkpointed, and restores them when it is lifted', site => {
     site.add('batch', { urgency: 'deferrable', tasks: 8, resources: size(2) })
     site.run(1000)
     site.scheduler.setAllowedCapacity(75)
@@ -58,7 +58,7 @@
     assert.equal(site.lines.filter(line => line.startsWith('throttle') && line.endsWith(' 100')).length, 4)
     assert.equal(site.running('batch'), 8)
   }],
-  ['work returns at a limited rate after heat', site => {
+  ['work starts at a limited rate after a thermal limit is lifted', site => {
     site.scheduler.setAllowedCapacity(0)
     site.add('batch', { tasks: 16 })
     site.run(2000)
@@ -76,12 +76,12 @@
     site.run(1000)
     assert.match(site.scheduler.explain('late', site.now), /no worker has room; the nearest is w\d, which lacks 2 processors/)
   }],
-  ['explain says that a job cannot run on the workers there are', site => {
+  ['explain states that a job cannot run on the available workers', site => {
     site.add('large', { resources: size(8) })
     site.run(1000)
     assert.match(site.scheduler.explain('large', site.now), /cannot run: the 4 workers that answer could carry 0/)
   }],
-  ['explain names heat and the reservation of another gang', site => {
+  ['explain names the thermal limit and the reservation of another gang', site => {
     site.add('fill', { tasks: 4, resources: size(3) })
     site.add('one', { kind: 'gang', tasks: 4, resources: size(2) })
     site.add('two', { kind: 'gang', tasks: 4, resources: size(2) })
@@ -93,7 +93,7 @@
   }]
 ]
 
-describe('Faults and heat', () => {
+describe('Worker health, thermal limit and explanations', () => {
   for (const [name, run] of CASES) {
     it(name, () => run(new SimulatedSite(FOUR_WORKERS)))
   }
--- a/test/scheduling/interleavings.test.ts
+++ b/test/scheduling/interleavings.test.ts
@@ -9,14 +9,15 @@
 import type { SchedulingDecision } from '../../src/scheduling/decisions.js'
 import { Scheduler } from '../../src/scheduling/scheduler.js'
 
-const LEASE = 30_000
-const CALL_TIMEOUT = 2000
-const STEP = 250
-const TAKEOVER_BOUND = 4500 + LEASE + 1000
+const LEASE_MILLISECONDS = 30_000
+const CALL_TIMEOUT_MILLISECONDS = 2000
+const STEP_MILLISECONDS = 250
+/** Time after a takeover by which tasks on silent workers must have ended: 4500 ms, the lease and its margin. */
+const TAKEOVER_BOUND_MILLISECONDS = 4500 + LEASE_MILLISECONDS + 1000
 
 interface FakeTask { reported: ReportedTask, leaseUntil: number, endsAt: number }
 
-/** Worker that starts what it is given, checks terms, and keeps ended tasks until they are acknowledged. */
+/** Worker that carries out every start, checks terms, and keeps ended tasks until they are acknowledged. */
 class FakeWorker {
   tasks = new Map<string, FakeTask>()
   term = 0
@@ -43,7 +44,7 @@
     const known = this.tasks.get(task)
     const order = known === undefined ? 1 : compareAttempts(attempt, known.reported.attempt)
     if (order < 0) return 'refused'
-    if (order > 0) this.tasks.set(task, { reported: { task, attempt, job: job.identity, taskIndex: decision.taskIndex, state: 'running', resources: job.resources, usage: job.resources, checkpointMilliseconds: 0 }, leaseUntil: now + LEASE, endsAt: now + runFor })
+    if (order > 0) this.tasks.set(task, { reported: { task, attempt, job: job.identity, taskIndex: decision.taskIndex, state: 'running', resources: job.resources, usage: job.resources, checkpointMilliseconds: 0 }, leaseUntil: now + LEASE_MILLISECONDS, endsAt: now + runFor })
     return 'done'
   }
 
@@ -53,7 +54,7 @@
   }
 }
 
-/** One seeded run: random delays, lost answers, silent and restarted workers, cancellations and changes of owner. */
+/** One seeded run: random delays, lost responses, silent and restarted workers, cancellations and changes of owner. */
 class Run {
   readonly workers: FakeWorker[]
   private readonly random: Random
@@ -67,38 +68,38 @@
     this.random = new Random(seed)
     this.workers = Array.from({ length: 4 }, (_, index) => new FakeWorker(`worker-${index}`, { processorsThousandths: 4000, memoryBytes: 1000, accelerators: index % 2 }))
     this.scheduler = new Scheduler(1, 0, new BestFitPolicy())
-    this.list()
+    this.listWorkers()
   }
 
   get openJobs (): string[] {
     return [...this.jobs.values()].filter(entry => !entry.ended).map(({ job }) => job.identity)
   }
 
-  /** Runs `steps` steps with faults, then as many without, and checks what must always hold after each. */
+  /** Runs `steps` steps with faults, then as many without, and checks the invariants after each. */
   run (steps: number): void {
     for (let step = 0; step < steps * 2; step += 1) {
       const faulty = step < steps
-      this.now += STEP
-      if (faulty) this.disturb()
-      if (step === steps) this.list()
+      this.now += STEP_MILLISECONDS
+      if (faulty) this.injectFault()
+      if (step === steps) this.listWorkers()
       for (const worker of this.workers) worker.advance(this.now)
       this.renew(faulty)
       for (const decision of this.scheduler.decide(this.now, 20)) this.perform(decision, faulty)
       for (const [job, finished] of this.scheduler.takeProgress()) this.after(this.random.integerBelow(500), () => this.logProgress(job, finished))
-      this.drain()
-      this.check()
+      this.runDueEvents()
+      this.checkInvariants()
     }
   }
 
-  private disturb (): void {
+  private injectFault (): void {
     const chance = this.random.integerBelow(100)
     const worker = this.random.pick(this.workers)
     if (chance < 12 && this.jobs.size < 60) this.submit()
     else if (chance < 14) this.cancel()
     else if (chance < 15) worker.silentUntil = this.now + this.random.integerBelow(60_000)
     else if (chance < 16) { worker.tasks.clear(); worker.term = 0; worker.incarnation += 1 } else if (chance === 20 && this.random.integerBelow(4) === 0) this.changeOwner()
-    else if (chance === 21) this.list(worker)
-    else if (chance === 22) this.list()
+    else if (chance === 21) this.listWorkers(worker)
+    else if (chance === 22) this.listWorkers()
   }
 
   private submit (): void {
@@ -119,8 +120,8 @@
 
   private changeOwner (): void {
     this.term += 1
-    this.scheduler = new Scheduler(this.term, this.now + TAKEOVER_BOUND, new BestFitPolicy())
-    this.list()
+    this.scheduler = new Scheduler(this.term, this.now + TAKEOVER_BOUND_MILLISECONDS, new BestFitPolicy())
+    this.listWorkers()
     for (const { job, cancelled, ended, progress } of this.jobs.values()) {
       if (ended) continue
       const addedAfter = this.random.integerBelow(3) * 400
@@ -132,7 +133,7 @@
     }
   }
 
-  private list (without?: FakeWorker): void {
+  private listWorkers (without?: FakeWorker): void {
     this.scheduler.setWorkers(this.workers.filter(worker => worker !== without).map(({ name, capacity }) => ({ name, failureDomain: 'zone', rack: 'rack', pool: 'pool', address: '', capacity, leaving: false })))
   }
 
@@ -143,7 +144,7 @@
       this.send(decision.worker.name, faulty, worker => worker.stop(decision.task, decision.attempt), () => {})
     }
     if (decision.kind !== 'start') return
-    assert.ok(this.jobs.get(decision.job.identity)?.progress.has(decision.taskIndex) !== true, `seed ${this.seed} at ${this.now}: ${decision.task} is started again although the log says that it has finished`)
+    assert.ok(this.jobs.get(decision.job.identity)?.progress.has(decision.taskIndex) !== true, `seed ${this.seed} at ${this.now}: ${decision.task} is started again although the log records it as finished`)
     const runFor = 500 + this.random.integerBelow(20_000)
     this.send(decision.worker.name, faulty, worker => worker.start(decision, this.now, runFor), outcome => {
       if (scheduler === this.scheduler && term === this.term) scheduler.onStartOutcome(decision.task, decision.attempt, outcome ?? 'unknown', this.now)
@@ -159,7 +160,7 @@
         worker.term = this.term
         for (const { task, attempt } of plan.tasks) {
           const known = worker.tasks.get(task)
-          if (known?.reported.state === 'running' && compareAttempts(known.reported.attempt, attempt) === 0) known.leaseUntil = this.now + LEASE
+          if (known?.reported.state === 'running' && compareAttempts(known.reported.attempt, attempt) === 0) known.leaseUntil = this.now + LEASE_MILLISECONDS
         }
         for (const { task, attempt } of plan.acknowledged) {
           const known = worker.tasks.get(task)
@@ -172,17 +173,17 @@
     }
   }
 
-  /** Delivers after a random delay; the answer may be lost, and is lost for a silent worker, which gets nothing. Messages overtake each other. */
-  private send<T> (name: string, faulty: boolean, deliver: (worker: FakeWorker) => T, answer: (result: T | undefined) => void): void {
+  /** Delivers a request after a random delay. The response may be lost; a silent worker receives nothing and sends none. Messages may be reordered. */
+  private send<T> (name: string, faulty: boolean, deliver: (worker: FakeWorker) => T, respond: (result: T | undefined) => void): void {
     const worker = this.workers.find(candidate => candidate.name === name) as FakeWorker
     const { term } = this
     const delay = faulty ? this.random.integerBelow(700) : 10
-    const answerLost = faulty && this.random.integerBelow(10) === 0
+    const responseLost = faulty && this.random.integerBelow(10) === 0
     this.after(delay, () => {
       const reached = worker.silentUntil <= this.now && term === this.term
       const result = reached ? deliver(worker) : undefined
-      if (!reached || answerLost) this.after(CALL_TIMEOUT - delay, () => answer(undefined))
-      else this.after(faulty ? this.random.integerBelow(700) : 10, () => answer(result))
+      if (!reached || responseLost) this.after(CALL_TIMEOUT_MILLISECONDS - delay, () => respond(undefined))
+      else this.after(faulty ? this.random.integerBelow(700) : 10, () => respond(result))
     })
   }
 
@@ -201,12 +202,12 @@
     this.queue.push({ at: this.now + delay, act })
   }
 
-  private drain (): void {
+  private runDueEvents (): void {
     const until = this.now
     for (;;) {
       this.queue.sort((left, right) => left.at - right.at)
       const next = this.queue[0]
-      if (next === undefined || next.at > until + STEP - 1) return
+      if (next === undefined || next.at > until + STEP_MILLISECONDS - 1) return
       this.queue.shift()
       this.now = Math.max(until, next.at)
       next.act()
@@ -214,14 +215,14 @@
     }
   }
 
-  private check (): void {
-    const places = new Map<string, string>()
+  private checkInvariants (): void {
+    const workerOfTask = new Map<string, string>()
     for (const worker of this.workers) {
       const used = worker.running.reduce((sum, { reported }) => addResources(sum, reported.resources), NO_RESOURCES)
       assert.ok(fitsWithin(used, worker.capacity), `seed ${this.seed} at ${this.now}: ${worker.name} is overcommitted`)
       for (const { reported } of worker.running) {
-        assert.equal(places.get(reported.task), undefined, `seed ${this.seed} at ${this.now}: ${reported.task} runs on ${places.get(reported.task)} and ${worker.name}`)
-        places.set(reported.task, worker.name)
+        assert.equal(workerOfTask.get(reported.task), undefined, `seed ${this.seed} at ${this.now}: ${reported.task} runs on ${workerOfTask.get(reported.task)} and ${worker.name}`)
+        workerOfTask.set(reported.task, worker.name)
       }
     }
   }
--- a/test/scheduling/order.test.ts
+++ b/test/scheduling/order.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test'
 import { FOUR_WORKERS, SimulatedSite, size } from './simulatedSite.js'
 
-/** Each case guards against one kind of wrong order, waiting or eviction. */
+/** Each case guards against one kind of wrong order, starvation or wrong preemption. */
 const CASES: ReadonlyArray<readonly [name: string, run: (site: SimulatedSite) => void]> = [
   ['an urgent job on a full site starts within 6 s and preempts a task that can be checkpointed', site => {
     site.add('plain', { urgency: 'deferrable', tasks: 3, resources: size(4) })
@@ -32,7 +32,7 @@
     assert.equal(site.running('call'), 0)
     assert.deepEqual(site.lines.filter(line => line.startsWith('preempt')), [])
   }],
-  ['a preempted task is not preempted again while another would do', site => {
+  ['a preempted task is not preempted again while there is an alternative', site => {
     site.add('a', { urgency: 'deferrable', checkpointable: true, tasks: 4, resources: size(4) })
     site.run(1000)
     site.add('first', { urgency: 'urgent', resources: size(4) })
@@ -46,7 +46,7 @@
     assert.equal(victims.length, 2)
     assert.notEqual(victims[1], victim)
   }],
-  ['a gang gets its room although small tasks keep coming', site => {
+  ['a gang gets its capacity although small tasks keep arriving', site => {
     site.add('fill', { tasks: 16 })
     site.run(1000)
     site.add('gang', { kind: 'gang', tasks: 4, resources: size(4) })
@@ -68,7 +68,7 @@
     site.run(1000)
     assert.equal(site.running('two'), 4)
   }],
-  ['room that is kept for a gang is used by tasks that can be checkpointed, which give it back when the rest is free', site => {
+  ['capacity reserved for a gang is used by tasks that can be checkpointed, which release it when the rest is free', site => {
     site.add('long', { tasks: 1, resources: size(4) })
     site.add('gang', { kind: 'gang', tasks: 4, resources: size(4) })
     site.run(15_000)
@@ -86,7 +86,7 @@
     const racks = ['front#0', 'front#1'].map(task => FOUR_WORKERS.find(([name]) => name === site.workerOf(task))?.[1])
     assert.equal(new Set(racks).size, 2)
   }],
-  ['teams get equal shares of their quotas, and more while others leave theirs', site => {
+  ['teams get equal shares of their quotas, and more while others leave theirs unused', site => {
     site.scheduler.setQuotas({ one: { quota: size(8) }, two: { quota: size(8) } })
     site.add('a', { team: 'one', tasks: 12 })
     site.run(1000)
--- a/test/scheduling/scheduler.test.ts
+++ b/test/scheduling/scheduler.test.ts
@@ -27,7 +27,7 @@
 
 /** Each case guards against overcommitted workers, half-placed gangs or a wrong order. */
 const CASES: ReadonlyArray<{ readonly name: string, readonly workers: number, readonly jobs: readonly Job[], readonly started: readonly string[] }> = [
-  { name: 'fills workers up to their processors', workers: 1, jobs: [job('batch', { tasks: 6 })], started: ['batch', 'batch', 'batch', 'batch'] },
+  { name: 'fills workers up to their processor capacity', workers: 1, jobs: [job('batch', { tasks: 6 })], started: ['batch', 'batch', 'batch', 'batch'] },
   { name: 'a gang that does not fit starts no task', workers: 1, jobs: [job('gang', { kind: 'gang', tasks: 5 })], started: [] },
   { name: 'a gang that fits starts every task', workers: 2, jobs: [job('gang', { kind: 'gang', tasks: 5 })], started: ['gang', 'gang', 'gang', 'gang', 'gang'] },
   { name: 'urgent jobs come first', workers: 1, jobs: [job('late', { urgency: 'deferrable', tasks: 4 }), job('now', { urgency: 'urgent', tasks: 4 })], started: ['now', 'now', 'now', 'now'] }
@@ -53,7 +53,7 @@
     assert.deepEqual(starts(scheduler.decide(32_000, 10)), ['first'])
   })
 
-  it('repeats a start that never arrived as the same attempt while its worker answers', () => {
+  it('repeats a start that never arrived as the same attempt while its worker reports', () => {
     const scheduler = schedulerWith(1)
     scheduler.addJob(job('first', {}), 0)
     const [start] = scheduler.decide(0, 10)
--- a/test/scheduling/simulatedSite.ts
+++ b/test/scheduling/simulatedSite.ts
@@ -4,19 +4,19 @@
 import { BestFitPolicy } from '../../src/scheduling/placementPolicy.js'
 import { Scheduler } from '../../src/scheduling/scheduler.js'
 
-const STEP = 100
+const STEP_MILLISECONDS = 100
 
-/** Resources of a number of processors, with memory in proportion. */
+/** Returns the resources of a number of processors, with memory in proportion. */
 export function size (processors: number, accelerators = 0): Resources {
   return { processorsThousandths: processors * 1000, memoryBytes: 100 * processors, accelerators }
 }
 
-/** Workers that carry out every command within one step. `lines` collects what happened, without times. */
+/** Simulated site whose workers carry out every command within one step. `lines` records the events in short form, without times. */
 export class SimulatedSite {
   readonly scheduler = new Scheduler(1, 0, new BestFitPolicy())
   readonly lines: string[] = []
   readonly startedAt = new Map<string, number>()
-  /** Whether a task of the job fails at once on the worker. */
+  /** Whether a task of the job fails immediately on the worker. */
   failing: (worker: string, job: string) => boolean = () => false
   now = 0
   private readonly tasks = new Map<string, Map<string, ReportedTask>>()
@@ -36,7 +36,7 @@
 
   run (milliseconds: number): void {
     for (const end = this.now + milliseconds; this.now < end;) {
-      this.now += STEP
+      this.now += STEP_MILLISECONDS
       this.scheduler.planRenewals(this.now)
       this.report()
       for (const decision of this.scheduler.decide(this.now, 100)) {
@@ -50,16 +50,16 @@
         const { task, attempt, worker, job } = decision
         this.lines.push(`start ${task}`)
         if (!this.startedAt.has(task)) this.startedAt.set(task, this.now)
-        this.put(worker.name, task, attempt, job, this.failing(worker.name, job.identity) ? 'failed' : 'running')
+        this.setReported(worker.name, task, attempt, job, this.failing(worker.name, job.identity) ? 'failed' : 'running')
         this.scheduler.onStartOutcome(task, attempt, 'done', this.now)
       }
     }
   }
 
   end (task: string, state: TaskState = 'finished'): void {
-    const place = this.workerOf(task)
-    const known = this.tasks.get(place)?.get(task)
-    if (known !== undefined) this.tasks.get(place)?.set(task, { ...known, state })
+    const worker = this.workerOf(task)
+    const known = this.tasks.get(worker)?.get(task)
+    if (known !== undefined) this.tasks.get(worker)?.set(task, { ...known, state })
   }
 
   workerOf (task: string): string {
@@ -82,7 +82,7 @@
     }
   }
 
-  private put (worker: string, task: string, attempt: Attempt, job: Job, state: TaskState): void {
+  private setReported (worker: string, task: string, attempt: Attempt, job: Job, state: TaskState): void {
     this.tasks.get(worker)?.set(task, { task, attempt, job: job.identity, taskIndex: 0, state, resources: job.resources, usage: job.resources, checkpointMilliseconds: 0 })
   }
 }
--- a/test/scheduling/taskLedger.test.ts
+++ b/test/scheduling/taskLedger.test.ts
@@ -8,11 +8,11 @@
 
 const SIZE = { processorsThousandths: 1000, memoryBytes: 100, accelerators: 1 }
 const CAPACITY = { processorsThousandths: 1000, memoryBytes: 100, accelerators: 1 }
-/** Time by which tasks of an earlier owner on silent workers have ended. */
-const BOUND = 40_000
+/** Time by which tasks of an earlier owner on silent workers must have ended, in milliseconds. */
+const SILENT_WORKERS_LAPSE_AT = 40_000
 
-/** Two workers that fit one task each, and a job of one task. `lines` collects decisions in short form. */
-class Site {
+/** Scheduler with workers that fit one task each, for jobs of one task. Decisions are returned in short form. */
+class LedgerSite {
   readonly scheduler: Scheduler
   readonly started: Attempt[] = []
   now = 0
@@ -26,13 +26,13 @@
     this.scheduler.setWorkers(names.map(name => ({ name, failureDomain: 'zone', rack: 'rack', pool: 'pool', address: '', capacity, leaving: false })))
   }
 
-  inventories (): void {
+  reportEmptyInventories (): void {
     for (const name of this.names) this.report(name, [])
   }
 
-  add (identity: string, mayBePlaced = false): void {
+  add (identity: string, mayAlreadyBePlaced = false): void {
     const job: Job = { identity, name: identity, team: 'one', kind: 'batch', urgency: 'normal', tasks: 1, resources: SIZE, checkpointable: false, acceptedAtMilliseconds: 0 }
-    this.scheduler.addJob(job, this.now, mayBePlaced)
+    this.scheduler.addJob(job, this.now, mayAlreadyBePlaced)
   }
 
   report (name: string, tasks: ReadonlyArray<[task: string, attempt: Attempt, state: TaskState]>, requestedAt = this.now): void {
@@ -61,11 +61,11 @@
   }
 }
 
-const OLD: Attempt = { term: 1, sequence: 7 }
-const OLDER: Attempt = { term: 1, sequence: 3 }
+const LATER_ATTEMPT: Attempt = { term: 1, sequence: 7 }
+const EARLIER_ATTEMPT: Attempt = { term: 1, sequence: 3 }
 
 /** Each case guards against resources that are freed too early, a task in two places, or a command that is never repeated. */
-const CASES: ReadonlyArray<readonly [name: string, run: (site: Site) => void, term?: number, lapseAt?: number]> = [
+const CASES: ReadonlyArray<readonly [name: string, run: (site: LedgerSite) => void, term?: number, lapseAt?: number]> = [
   ['a refusal after a report of the same attempt running frees nothing', site => {
     site.add('a')
     assert.deepEqual(site.decide(0), ['start a#0 at w1'])
@@ -161,7 +161,7 @@
     }
     assert.deepEqual(site.decide(10_000), ['start a#0 at w1'])
   }],
-  ['an ended attempt is not acknowledged while a command to start it is on its way', site => {
+  ['an ended attempt is not acknowledged while a command to start it is in flight', site => {
     site.add('a')
     site.decide(0)
     site.report('w1', [['a#0', site.started[0] as Attempt, 'failed']])
@@ -169,7 +169,7 @@
     site.outcome(0, 'unknown')
     assert.deepEqual(site.acknowledged(), ['a#0 at w1'])
   }],
-  ['a worker that is removed and added with a smaller size keeps what it holds and gets nothing beyond the new size', site => {
+  ['a worker that is removed and added again with a smaller capacity keeps its holds and receives nothing beyond the new capacity', site => {
     site.add('a')
     site.decide(0)
     site.outcome(0, 'done')
@@ -181,80 +181,80 @@
     site.add('c')
     assert.deepEqual(site.decide(200), ['end a finished'])
   }],
-  ['after a change of owner the later of two attempts stays, the earlier is stopped, and both count', site => {
+  ['after a change of owner the later of two attempts continues, the earlier is stopped, and both count against capacity', site => {
     site.add('a', true)
-    site.report('w1', [['a#0', OLD, 'running']])
-    site.report('w2', [['a#0', OLDER, 'running']])
+    site.report('w1', [['a#0', LATER_ATTEMPT, 'running']])
+    site.report('w2', [['a#0', EARLIER_ATTEMPT, 'running']])
     assert.deepEqual(site.decide(100), ['stop a#0 at w2'])
     assert.equal(site.scheduler.utilization().used.accelerators, 2)
-  }, 2, BOUND],
+  }, 2, SILENT_WORKERS_LAPSE_AT],
   ['the same with the earlier attempt reported first', site => {
     site.add('a', true)
-    site.report('w2', [['a#0', OLDER, 'running']])
-    site.report('w1', [['a#0', OLD, 'running']])
+    site.report('w2', [['a#0', EARLIER_ATTEMPT, 'running']])
+    site.report('w1', [['a#0', LATER_ATTEMPT, 'running']])
     assert.deepEqual(site.decide(100), ['stop a#0 at w2'])
-  }, 2, BOUND],
+  }, 2, SILENT_WORKERS_LAPSE_AT],
   ['a task is not placed while an earlier attempt of it still holds a worker', site => {
     site.add('a', true)
-    site.report('w1', [['a#0', OLD, 'running']])
-    site.report('w2', [['a#0', OLDER, 'running']])
+    site.report('w1', [['a#0', LATER_ATTEMPT, 'running']])
+    site.report('w2', [['a#0', EARLIER_ATTEMPT, 'running']])
     site.decide(100)
-    site.report('w1', [['a#0', OLD, 'failed']])
+    site.report('w1', [['a#0', LATER_ATTEMPT, 'failed']])
     assert.deepEqual(site.decide(200), [])
-    site.report('w2', [['a#0', OLDER, 'stopped']])
+    site.report('w2', [['a#0', EARLIER_ATTEMPT, 'stopped']])
     assert.deepEqual(site.decide(300).length, 1)
-  }, 2, BOUND],
-  ['a job that becomes known after its tasks were reported is not placed again', site => {
-    site.report('w1', [['a#0', OLD, 'running']])
-    site.report('w2', [['b#0', OLD, 'finished']])
+  }, 2, SILENT_WORKERS_LAPSE_AT],
+  ['a job that is added after its tasks were reported is not placed again', site => {
+    site.report('w1', [['a#0', LATER_ATTEMPT, 'running']])
+    site.report('w2', [['b#0', LATER_ATTEMPT, 'finished']])
     site.add('a', true)
     site.add('b', true)
     assert.deepEqual(site.decide(100), ['end b finished'])
     assert.equal(site.scheduler.stateOf('a')?.state, 'running')
-  }, 2, BOUND],
-  ['one silent worker holds back only jobs that may be on it', site => {
+  }, 2, SILENT_WORKERS_LAPSE_AT],
+  ['one silent worker delays only jobs that may be on it', site => {
     site.report('w1', [])
     site.add('a', true)
     site.add('b')
     assert.deepEqual(site.decide(100), ['start b#0 at w1'])
-    assert.deepEqual(site.decide(BOUND - 1), ['taskLost b#0 at w1', 'start b#0 at w1'])
-  }, 2, BOUND],
-  ['a worker that leaves the list without a report still holds back jobs that may be on it', site => {
+    assert.deepEqual(site.decide(SILENT_WORKERS_LAPSE_AT - 1), ['taskLost b#0 at w1', 'start b#0 at w1'])
+  }, 2, SILENT_WORKERS_LAPSE_AT],
+  ['a worker that leaves the list without a report still delays jobs that may be on it', site => {
     site.report('w1', [])
     site.add('a', true)
     site.list(['w1'])
-    assert.deepEqual(site.decide(BOUND - 1), [])
-    assert.deepEqual(site.decide(BOUND), ['start a#0 at w1'])
-  }, 2, BOUND],
-  ['a finished task stays at its worker until the log tells of it', site => {
+    assert.deepEqual(site.decide(SILENT_WORKERS_LAPSE_AT - 1), [])
+    assert.deepEqual(site.decide(SILENT_WORKERS_LAPSE_AT), ['start a#0 at w1'])
+  }, 2, SILENT_WORKERS_LAPSE_AT],
+  ['the worker keeps the report of a finished task until the log contains it', site => {
     site.add('a', true)
-    site.report('w1', [['a#0', OLD, 'finished']])
+    site.report('w1', [['a#0', LATER_ATTEMPT, 'finished']])
     assert.deepEqual([...site.scheduler.takeProgress()], [['a', [0]]])
     assert.deepEqual(site.acknowledged(), [])
     site.scheduler.onProgress('a', [0], 100)
     assert.deepEqual(site.acknowledged(), ['a#0 at w1'])
-  }, 2, BOUND],
-  ['a task that the log says to have finished does not run again', site => {
+  }, 2, SILENT_WORKERS_LAPSE_AT],
+  ['a task that the log records as finished does not run again', site => {
     site.add('a', true)
     site.scheduler.onProgress('a', [0], 0)
     site.report('w1', [])
     site.report('w2', [])
     assert.deepEqual(site.decide(100), ['end a finished'])
-  }, 2, BOUND],
+  }, 2, SILENT_WORKERS_LAPSE_AT],
   ['attempts of jobs that have ended are stopped, and their reports acknowledged', site => {
-    site.report('w1', [['gone#0', OLD, 'running']])
-    site.report('w2', [['gone#0', OLDER, 'finished']])
+    site.report('w1', [['gone#0', LATER_ATTEMPT, 'running']])
+    site.report('w2', [['gone#0', EARLIER_ATTEMPT, 'finished']])
     site.scheduler.resolveOrphans(100)
     assert.deepEqual(site.decide(100), ['stop gone#0 at w1'])
     assert.deepEqual(site.acknowledged(), ['gone#0 at w2'])
-  }, 2, BOUND]
+  }, 2, SILENT_WORKERS_LAPSE_AT]
 ]
 
 describe('TaskLedger', () => {
   for (const [name, run, term = 1, lapseAt = 0] of CASES) {
     it(name, () => {
-      const site = new Site(term, lapseAt, ['w1', 'w2'])
-      if (term === 1) site.inventories()
+      const site = new LedgerSite(term, lapseAt, ['w1', 'w2'])
+      if (term === 1) site.reportEmptyInventories()
       run(site)
     })
   }
