--- a/src/scheduling/taskLedger.ts
+++ b/src/scheduling/taskLedger.ts
@@ -8,8 +8,8 @@
 import { WorkerEntry } from './workerEntry.js'
 
 /** Time for which a worker that could not be reached or refused a start receives no starts, in milliseconds. */
-
 const AVOID_AFTER_REFUSAL_MILLISECONDS = 1000
+
 /**
  * Tracks which attempt of which task is on which worker, as far as the owner knows. The resources of an attempt stay held until
  * its end is reported, a later report no longer lists it, its start was definitely not carried out, or its lease must have lapsed.
@@ -178,7 +178,7 @@
     for (const hold of [...entry.worker.held]) {
       if (listed.has(hold.task)) continue
       if (hold.confirmedAt === undefined) this.repeatStart(entry, hold, now, requestedAt)
-      else if (hold.confirmedAt < requestedAt) this.reportLost(entry, hold)
+      else if (hold.confirmedAt < requestedAt) this.releaseLost(entry, hold)
     }
     for (const [task, attempt] of entry.pendingAcknowledgements) {
       const reported = listed.get(task)
@@ -198,7 +198,7 @@
 
   /** Releases the resources of attempts whose lease must have lapsed. */
   releaseLapsed (now: number): void {
-    for (let held = this.timers.takeLapsed(now); held !== undefined; held = this.timers.takeLapsed(now)) this.reportLost(held.entry, held.hold)
+    for (let held = this.timers.takeLapsed(now); held !== undefined; held = this.timers.takeLapsed(now)) this.releaseLost(held.entry, held.hold)
   }
 
   /** Returns at most `limit` holds whose stop must be sent or whose start must be repeated now. */
@@ -234,7 +234,7 @@
     this.timers.scheduleCommand(entry, hold, now)
   }
 
-  private reportLost (entry: WorkerEntry, hold: Hold): void {
+  private releaseLost (entry: WorkerEntry, hold: Hold): void {
     this.observer.onTaskLost(hold.task, entry.worker.name)
     this.release(entry, hold)
   }
