--- a/src/entry/placementTask.ts
+++ b/src/entry/placementTask.ts
@@ -6,7 +6,7 @@
 import type { CommandOutcome, WorkerClient } from '../links/workerClient.js'
 import type { Membership } from '../machines/membership.js'
 import { BestFitPolicy } from '../scheduling/placementPolicy.js'
-import { indexesOf, rangesOf } from '../scheduling/jobBook.js'
+import { expandIndexRanges, toIndexRanges } from '../scheduling/jobRegistry.js'
 import { jobOfTask } from '../scheduling/jobState.js'
 import type { RenewalPlan, SchedulingDecision } from '../scheduling/decisions.js'
 import { Scheduler } from '../scheduling/scheduler.js'
@@ -97,7 +97,7 @@
     const firstOwner = this.term === 1
     const lapseAt = firstOwner ? now : now + silentWorkerBoundMilliseconds(TASK_LEASE_MILLISECONDS, TASK_LEASE_MARGIN_MILLISECONDS)
     this.scheduler = new Scheduler(this.term, lapseAt, new BestFitPolicy())
-    for (const booked of this.jobs.book.open()) {
+    for (const booked of this.jobs.book.openJobs()) {
       this.scheduler.addJob(booked.job, now, !firstOwner)
       this.scheduler.onProgress(booked.job.identity, booked.finished, now)
       if (booked.cancelRequested) this.scheduler.cancelJob(booked.job.identity)
@@ -109,7 +109,7 @@
     if (scheduler === undefined) return
     if (body.type === 'jobAccepted' && this.jobs.book.find(body.job.identity)?.outcome === undefined) scheduler.addJob(body.job, now, this.term > 1 && now - this.ownerSince < LATE_RECORDS_MILLISECONDS)
     if (body.type === 'jobCancelRequested') scheduler.cancelJob(body.job)
-    if (body.type === 'jobProgress') scheduler.onProgress(body.job, indexesOf(body.finished, this.jobs.book.find(body.job)?.job.tasks ?? 0), now)
+    if (body.type === 'jobProgress') scheduler.onProgress(body.job, expandIndexRanges(body.finished, this.jobs.book.find(body.job)?.job.tasks ?? 0), now)
     if (body.type === 'jobEnded') scheduler.forgetJob(body.job)
   }
 
@@ -136,7 +136,7 @@
     scheduler.setAllowedCapacity(text.failureDomains[this.context.settings.failureDomain]?.allowedCapacityPercent ?? 100)
     this.renewLeases(scheduler, listed.length, now)
     if (listed.length === 0) return
-    if (this.jobs.hasCaughtUp && now - this.ownerSince > ORPHAN_GRACE_MILLISECONDS) scheduler.settleOrphans(now)
+    if (this.jobs.hasCaughtUp && now - this.ownerSince > ORPHAN_GRACE_MILLISECONDS) scheduler.resolveOrphans(now)
     for (const decision of scheduler.decide(now, STARTS_PER_TICK)) this.perform(decision)
     if (now - this.progressAt >= PROGRESS_PERIOD_MILLISECONDS) this.recordProgress(scheduler, now)
   }
@@ -148,7 +148,7 @@
   }
 
   private async appendProgress (job: string, finished: readonly number[]): Promise<void> {
-    const body = { type: 'jobProgress' as const, job, finished: rangesOf(finished) }
+    const body = { type: 'jobProgress' as const, job, finished: toIndexRanges(finished) }
     const identity = randomUUID()
     while (!this.isDisposed && this.scheduler !== undefined) {
       if (await this.jobs.recordProgress(body, identity)) return
--- a/src/scheduling/gangReservation.ts
+++ b/src/scheduling/gangReservationPlanner.ts
@@ -1,25 +1,25 @@
 import { fitsWithin, multiplyResources, NO_RESOURCES, addResources, subtractResources, type Resources } from '../contracts/resources.js'
 import { tasksThatFit } from './capacity.js'
-import { isBackfill, type Claims } from './claims.js'
+import { isBackfillJob, type CapacityReservations } from './capacityReservations.js'
 import type { JobEntry, TaskEntry } from './jobState.js'
 import type { WorkerEntry } from './workerEntry.js'
 
-/** A gang that has waited for this long gets a reservation, in milliseconds. */
+/** Waiting time after which a gang gets a reservation, in milliseconds. */
 const RESERVE_AFTER_MILLISECONDS = 10_000
-/** After this time other workers may have become the better choice, in milliseconds. */
+/** Lifetime of a reservation; after it, other workers may have become the better choice. In milliseconds. */
 const RESERVATION_MILLISECONDS = 300_000
 
 /**
- * Keeps room for the gang that comes first among those that wait. There is one reservation at a time, so that two gangs
- * never hold half of what they need. No run time is assumed: meanwhile the room is used by tasks that can be checkpointed.
+ * Reserves capacity for the first of the waiting gangs. Only one gang has a reservation at a time, so that two gangs never each
+ * hold half of what they need. Run times are not assumed to be known: meanwhile, tasks that can be checkpointed use the capacity.
  */
-export class GangReservation {
+export class GangReservationPlanner {
   private readonly waiting = new Set<JobEntry>()
   private reserved: JobEntry | undefined
 
-  constructor (private readonly claims: Claims, private readonly findTask: (task: string) => TaskEntry | undefined) {}
+  constructor (private readonly reservations: CapacityReservations, private readonly findTask: (task: string) => TaskEntry | undefined) {}
 
-  /** Notes that a gang did not fit. */
+  /** Records that a gang did not fit. */
   add (job: JobEntry): void {
     this.waiting.add(job)
   }
@@ -29,34 +29,34 @@
     return this.reserved
   }
 
-  /** Gives up a reservation that has been used or has expired, and makes the next one. */
+  /** Releases a reservation that has been used or has expired, and makes the next one. */
   update (workers: Iterable<WorkerEntry>, now: number): void {
-    if (this.reserved !== undefined && (!this.reserved.isWaiting || this.claims.of(this.reserved).length === 0)) {
-      this.claims.drop(this.reserved)
+    if (this.reserved !== undefined && (!this.reserved.isWaiting || this.reservations.forJob(this.reserved).length === 0)) {
+      this.reservations.releaseAll(this.reserved)
       this.reserved = undefined
     }
     const first = this.firstWaiting(now)
     if (first === undefined || first === this.reserved || (this.reserved !== undefined && this.reserved.rank <= first.rank)) return
-    if (this.reserved !== undefined) this.claims.drop(this.reserved)
+    if (this.reserved !== undefined) this.reservations.releaseAll(this.reserved)
     this.reserved = this.reserve(first, workers, now) ? first : undefined
   }
 
-  /** Once all room would be free without backfilling tasks, closes the claims and returns the tasks to preempt. */
+  /** Once all reserved capacity would be free without backfill tasks, closes the reservations to backfill and returns the tasks to preempt. */
   takeBackfill (): TaskEntry[] {
-    const claims = this.reserved === undefined ? [] : this.claims.of(this.reserved)
+    const reservations = this.reserved === undefined ? [] : this.reservations.forJob(this.reserved)
     const tasks: TaskEntry[] = []
-    for (const { entry, resources } of claims) {
+    for (const { entry, resources } of reservations) {
       let { free } = entry.worker
       for (const hold of entry.worker.held) {
         if (fitsWithin(resources, free)) break
         const task = this.findTask(hold.task)
-        if (task === undefined || task.phase !== 'running' || !isBackfill(task.job)) continue
+        if (task === undefined || task.phase !== 'running' || !isBackfillJob(task.job)) continue
         free = addResources(free, hold.resources)
         tasks.push(task)
       }
       if (!fitsWithin(resources, free)) return []
     }
-    for (const claim of claims) claim.open = false
+    for (const reservation of reservations) reservation.openToBackfill = false
     return tasks
   }
 
@@ -73,14 +73,14 @@
     return first
   }
 
-  /** Claims workers that come closest to having room. Running services never end, so what they hold does not count. */
+  /** Reserves capacity on the workers that come closest to having it free. Services never end, so what they hold does not count as capacity. */
   private reserve (job: JobEntry, workers: Iterable<WorkerEntry>, now: number): boolean {
     const demand = job.job.resources
     const choices: Array<{ entry: WorkerEntry, tasks: number, freeTasks: number }> = []
     for (const entry of workers) {
-      if (!entry.present) continue
-      const kept = this.claims.on(entry).reduce((sum, claim) => addResources(sum, claim.resources), this.heldByServices(entry))
-      const tasks = tasksThatFit(demand, subtractResources(entry.worker.description.capacity, kept))
+      if (!entry.schedulable) continue
+      const unavailable = this.reservations.onWorker(entry).reduce((sum, reservation) => addResources(sum, reservation.resources), this.heldByServices(entry))
+      const tasks = tasksThatFit(demand, subtractResources(entry.worker.description.capacity, unavailable))
       if (tasks > 0) choices.push({ entry, tasks, freeTasks: tasksThatFit(demand, entry.worker.free) })
     }
     choices.sort((left, right) => right.freeTasks / right.tasks - left.freeTasks / left.tasks || right.tasks - left.tasks)
@@ -93,7 +93,7 @@
       missing -= taken
     }
     if (missing > 0) return false
-    for (const { entry, tasks } of chosen) this.claims.add({ entry, job, resources: multiplyResources(demand, tasks), expiresAt: now + RESERVATION_MILLISECONDS, open: true })
+    for (const { entry, tasks } of chosen) this.reservations.add({ entry, job, resources: multiplyResources(demand, tasks), expiresAt: now + RESERVATION_MILLISECONDS, openToBackfill: true })
     return true
   }
 
--- a/src/scheduling/jobQueue.ts
+++ b/src/scheduling/jobQueue.ts
@@ -4,28 +4,28 @@
 import type { JobEntry } from './jobState.js'
 import type { WorkerEntry } from './workerEntry.js'
 
-/** Groups that are made ready in one decision at most; the rest follow in the next ones. */
-const WOKEN_PER_DECISION = 200
+/** Number of groups after which a pass stops unparking shapes; the rest follow in later passes. */
+const UNPARKED_GROUPS_PER_PASS = 200
 
-/** Jobs of one urgency whose tasks have the same size. If the tasks of one do not fit, none do. */
+/** Jobs of one urgency whose tasks have the same size. If the tasks of one job do not fit, those of none do. */
 interface Shape {
   readonly rank: number
   readonly demand: Resources
   readonly groups: JobGroup[]
-  /** Nothing fits but perhaps on workers that have grown since. */
+  /** Does not fit, except perhaps on workers whose free capacity has increased since. */
   parked: boolean
-  /** It was parked before, so that only workers that have grown since can fit. */
-  woken: boolean
+  /** Was parked before, so that only workers whose free capacity has increased can fit. */
+  unparked: boolean
 }
 
-/** Waiting jobs of one team and shape, by age. */
+/** Waiting jobs of one team and shape, ordered by age. */
 export interface JobGroup {
   readonly shape: Shape
   readonly team: TeamQueue
   readonly jobs: FlatQueue<JobEntry>
 }
 
-/** Groups of one team and urgency that may fit, by the age of their oldest job. */
+/** Groups of one team and urgency that may fit, ordered by the age of their oldest job. */
 interface TeamQueue {
   readonly team: string
   readonly ready: FlatQueue<JobGroup>
@@ -38,22 +38,22 @@
   readonly parked: Set<Shape>
 }
 
-/** What to try next. If `candidates` is given, only these workers can have room. A gang may also need workers that had room before. */
+/** Job to try next. If `candidates` is given, only these workers can have enough capacity. A gang may also need workers that had capacity before. */
 export interface NextJob {
   readonly job: JobEntry
   readonly group: JobGroup
   readonly candidates: readonly WorkerEntry[] | undefined
 }
 
-/** Waiting jobs by urgency, team and age. Sizes that did not fit are set aside until a worker has grown enough for one task. */
+/** Waiting jobs by urgency, team and age. Shapes that did not fit are parked until the free capacity of a worker has increased enough for one task. */
 export class JobQueue {
   private readonly classes: readonly UrgencyClass[] = URGENCY_CLASSES.map(() => ({ teams: new Map(), shapes: new Map(), parked: new Set() }))
-  private readonly grown = new Set<WorkerEntry>()
+  private readonly workersWithMoreCapacity = new Set<WorkerEntry>()
   private candidates: readonly WorkerEntry[] = []
-  private woken: Shape[] = []
-  private held: Shape[] = []
+  private unparkedShapes: Shape[] = []
+  private suspendedShapes: Shape[] = []
 
-  /** Adds a job with tasks to place, or does nothing if it is in the queue. */
+  /** Adds a job with tasks to place, or does nothing if it is already queued. */
   add (job: JobEntry): void {
     if (job.queued) return
     job.queued = true
@@ -62,40 +62,40 @@
     if (!group.shape.parked && group.jobs.peek() === job) group.team.ready.push(group, job.order)
   }
 
-  /** Notes that a worker has more free resources than before. */
-  noteGrowth (entry: WorkerEntry): void {
-    this.grown.add(entry)
+  /** Records that a worker has more free resources than before. */
+  noteCapacityIncrease (entry: WorkerEntry): void {
+    this.workersWithMoreCapacity.add(entry)
   }
 
-  /** Makes sizes ready that fit on a worker that has grown. */
-  wake (): void {
-    if (this.grown.size === 0) return
-    this.candidates = [...this.grown]
-    const front = undominated(this.candidates)
-    let woken = 0
+  /** Unparks shapes that fit on a worker whose free capacity has increased. */
+  unparkFitting (): void {
+    if (this.workersWithMoreCapacity.size === 0) return
+    this.candidates = [...this.workersWithMoreCapacity]
+    const front = paretoFront(this.candidates)
+    let unparkedGroups = 0
     for (const { parked } of this.classes) {
       for (const shape of parked) {
         if (!front.some(free => fitsWithin(shape.demand, free))) continue
         shape.parked = false
-        shape.woken = true
-        this.woken.push(shape)
+        shape.unparked = true
+        this.unparkedShapes.push(shape)
         parked.delete(shape)
         for (const group of shape.groups) this.makeReady(group)
-        woken += shape.groups.length
-        if (woken >= WOKEN_PER_DECISION) return
+        unparkedGroups += shape.groups.length
+        if (unparkedGroups >= UNPARKED_GROUPS_PER_PASS) return
       }
     }
   }
 
-  /** Ends a round: every size that fits on a worker that has grown has been tried. */
+  /** Ends a round, after every shape that fits on a worker with increased capacity has been tried. */
   endRound (): void {
-    this.grown.clear()
+    this.workersWithMoreCapacity.clear()
     this.candidates = []
-    for (const shape of this.woken) shape.woken = false
-    this.woken = []
+    for (const shape of this.unparkedShapes) shape.unparked = false
+    this.unparkedShapes = []
   }
 
-  /** Returns the job to try next: of the most urgent class, of the team with the least share, the oldest. Undefined if none is ready. */
+  /** Returns the oldest job of the team with the smallest share, in the most urgent class that has a ready job; undefined if none is ready. */
   next (shareOf: (team: string) => number): NextJob | undefined {
     for (const { teams } of this.classes) {
       let best: NextJob | undefined
@@ -114,33 +114,33 @@
     return undefined
   }
 
-  /** Sets the size of a group's tasks aside until more is free. */
+  /** Parks the shape of a group until more capacity is free. */
   park (group: JobGroup): void {
     const { shape } = group
     shape.parked = true
     ;(this.classes[shape.rank] as UrgencyClass).parked.add(shape)
   }
 
-  /** Sets the size of a group's tasks aside until `wakeHeld`, whatever is free. */
-  hold (group: JobGroup): void {
+  /** Suspends the shape of a group until `resumeSuspended`, regardless of free capacity. */
+  suspend (group: JobGroup): void {
     group.shape.parked = true
-    this.held.push(group.shape)
+    this.suspendedShapes.push(group.shape)
   }
 
-  /** Makes all sizes ready that were set aside by `hold`. */
-  wakeHeld (): void {
-    for (const shape of this.held) {
+  /** Makes all shapes ready that were suspended by `suspend`. */
+  resumeSuspended (): void {
+    for (const shape of this.suspendedShapes) {
       shape.parked = false
       for (const group of shape.groups) this.makeReady(group)
     }
-    this.held = []
+    this.suspendedShapes = []
   }
 
-  /** Returns the first job of the team that may fit, and drops what was set aside or has nothing to place. */
+  /** Returns the first job of the team that may fit, and removes groups that are parked or have nothing to place. */
   private head (team: TeamQueue): NextJob | undefined {
     for (let group = team.ready.peek(); group !== undefined; group = team.ready.peek()) {
       const job = group.shape.parked ? undefined : firstWaiting(group)
-      if (job !== undefined && team.ready.peekValue() === job.order) return { job, group, candidates: group.shape.woken && job.job.kind !== 'gang' ? this.candidates : undefined }
+      if (job !== undefined && team.ready.peekValue() === job.order) return { job, group, candidates: group.shape.unparked && job.job.kind !== 'gang' ? this.candidates : undefined }
       team.ready.pop()
       if (job !== undefined) team.ready.push(group, job.order)
     }
@@ -163,7 +163,7 @@
     const key = `${kind === 'gang' ? tasks : 0} ${resources.processorsThousandths} ${resources.memoryBytes} ${resources.accelerators}`
     let shape = shapes.get(key)
     if (shape === undefined) {
-      shape = { rank: job.rank, demand: resources, groups: [], parked: false, woken: false }
+      shape = { rank: job.rank, demand: resources, groups: [], parked: false, unparked: false }
       shapes.set(key, shape)
     }
     let group = team.groups.get(shape)
@@ -176,11 +176,11 @@
   }
 }
 
-/** Free resources that are not covered by those of another worker. */
-function undominated (entries: readonly WorkerEntry[]): Resources[] {
+/** Returns the free resources that are not covered by those of another worker. */
+function paretoFront (entries: readonly WorkerEntry[]): Resources[] {
   const front: Resources[] = []
-  for (const { present, worker: { free } } of entries) {
-    if (!present || front.some(other => fitsWithin(free, other))) continue
+  for (const { schedulable, worker: { free } } of entries) {
+    if (!schedulable || front.some(other => fitsWithin(free, other))) continue
     for (let index = front.length - 1; index >= 0; index -= 1) {
       if (fitsWithin(front[index] as Resources, free)) front.splice(index, 1)
     }
@@ -189,7 +189,7 @@
   return front
 }
 
-/** Drops jobs that have nothing to place from the front of a group. They are added again when they have. */
+/** Returns the first waiting job of a group and removes those before it, which are added again when they have tasks to place. */
 function firstWaiting (group: JobGroup): JobEntry | undefined {
   for (let job = group.jobs.peek(); job !== undefined; job = group.jobs.peek()) {
     if (job.isWaiting && job.rank === group.shape.rank) return job
--- a/src/scheduling/placementPolicy.ts
+++ b/src/scheduling/placementPolicy.ts
@@ -1,22 +1,22 @@
 import { fitsWithin, type Resources } from '../contracts/resources.js'
-import { leftOver, WorkerIndex } from './workerIndex.js'
+import { leftoverScore, WorkerIndex } from './workerIndex.js'
 import type { WorkerEntry } from './workerEntry.js'
 
 /** Chooses a worker for a task. */
 export abstract class PlacementPolicy {
-  /** Takes note of changed free resources of a worker. One that is not `present` is not chosen until it is again. */
-  abstract onWorkerChanged (entry: WorkerEntry, present: boolean): void
+  /** Updates the free resources of a worker. A worker that is not `schedulable` is not chosen until it is again. */
+  abstract onWorkerChanged (entry: WorkerEntry, schedulable: boolean): void
 
   /** Returns an accepted worker on which the demand fits now, or undefined if there is none. */
   abstract choose (demand: Resources, accept: (entry: WorkerEntry) => boolean): WorkerEntry | undefined
 }
 
-/** Chooses among fitting workers by what is left over, and keeps accelerators for those who need them; reads an index. */
+/** Chooses a fitting worker with little capacity left over from an index, and keeps accelerators for the tasks that need them. */
 export class BestFitPolicy extends PlacementPolicy {
   private readonly index = new WorkerIndex()
 
-  override onWorkerChanged (entry: WorkerEntry, present: boolean): void {
-    this.index.update(entry, present)
+  override onWorkerChanged (entry: WorkerEntry, schedulable: boolean): void {
+    this.index.update(entry, schedulable)
   }
 
   override choose (demand: Resources, accept: (entry: WorkerEntry) => boolean): WorkerEntry | undefined {
@@ -24,27 +24,27 @@
   }
 }
 
-/** Baseline: reads every worker and takes the one with the least left over. */
+/** Baseline: examines every worker and chooses the one with the least capacity left over. */
 export class FullScanBestFitPolicy extends PlacementPolicy {
   private readonly workers = new Set<WorkerEntry>()
 
-  override onWorkerChanged (entry: WorkerEntry, present: boolean): void {
-    if (present) this.workers.add(entry)
+  override onWorkerChanged (entry: WorkerEntry, schedulable: boolean): void {
+    if (schedulable) this.workers.add(entry)
     else this.workers.delete(entry)
   }
 
   override choose (demand: Resources, accept: (entry: WorkerEntry) => boolean): WorkerEntry | undefined {
-    return bestOf(demand, this.workers, accept)
+    return bestFit(demand, this.workers, accept)
   }
 }
 
-/** The accepted worker with room for the demand that has the least left over, or undefined if there is none. */
-export function bestOf (demand: Resources, workers: Iterable<WorkerEntry>, accept: (entry: WorkerEntry) => boolean): WorkerEntry | undefined {
+/** Returns the accepted worker that fits the demand with the least left over, or undefined if there is none. */
+export function bestFit (demand: Resources, workers: Iterable<WorkerEntry>, accept: (entry: WorkerEntry) => boolean): WorkerEntry | undefined {
   let best: WorkerEntry | undefined
   let bestScore = Infinity
   for (const entry of workers) {
-    if (!fitsWithin(demand, entry.worker.free) || !entry.present || !accept(entry)) continue
-    const score = leftOver(demand, entry)
+    if (!fitsWithin(demand, entry.worker.free) || !entry.schedulable || !accept(entry)) continue
+    const score = leftoverScore(demand, entry)
     if (score >= bestScore) continue
     best = entry
     bestScore = score
--- a/src/scheduling/taskLedger.ts
+++ b/src/scheduling/taskLedger.ts
@@ -7,32 +7,33 @@
 import type { TeamShares } from './teamShares.js'
 import { WorkerEntry } from './workerEntry.js'
 
-/** A worker that could not be reached, or refused a start, gets no start for this long, in milliseconds. */
+/** Time for which a worker that could not be reached or refused a start receives no starts, in milliseconds. */
 const AVOID_AFTER_REFUSAL_MILLISECONDS = 1000
+
 /**
- * Which attempt of which task is on which worker, as far as the owner knows. Resources of an attempt stay held until its end is
- * reported, a later report lacks it, its start was certainly not carried out, or its lease has certainly lapsed.
+ * Tracks which attempt of which task is on which worker, as far as the owner knows. The resources of an attempt stay held until
+ * its end is reported, a later report no longer lists it, its start was definitely not carried out, or its lease must have lapsed.
  */
 export class TaskLedger {
   readonly workers = new Map<string, WorkerEntry>()
   readonly jobs = new Map<string, JobEntry>()
-  /** A worker has seen a newer term: another instance owns the failure domain. */
+  /** Whether a worker has seen a newer term, which means that another instance owns the failure domain. */
   superseded = false
-  /** Tasks that have finished since the caller last emptied it, by job. */
+  /** Tasks that have finished since the caller last cleared the map, by job. */
   newlyFinished = new Map<string, number[]>()
-  /** Worker of each start command without an outcome, by the attempt's number. */
+  /** Worker of each start command without an outcome, by the attempt's sequence number. */
   private readonly startsInFlight = new Map<number, WorkerEntry>()
-  private unreported = 0
-  private order = 0
+  private unreportedCount = 0
+  private lastOrder = 0
   private readonly timers = new HoldTimers()
-  /** Workers that hold or report attempts of jobs that are not known here. */
+  /** Workers that hold or report attempts of unknown jobs, by job. */
   private readonly orphans = new Map<string, Set<WorkerEntry>>()
 
   constructor (private readonly term: number, private readonly observer: LedgerObserver, private readonly teams: TeamShares) {}
 
   /** Whether every worker has reported to this owner. */
   get everyWorkerReported (): boolean {
-    return this.unreported === 0
+    return this.unreportedCount === 0
   }
 
   setWorkers (workers: ReadonlyArray<WorkerDescription & { leaving: boolean }>): void {
@@ -51,42 +52,42 @@
     }
   }
 
-  /** Forgets workers that left the list without a report. Before the leases of an earlier owner have lapsed they may still run its tasks. */
+  /** Removes workers that left the list without a report. Until the leases of an earlier owner have lapsed, they may still run its tasks. */
   forgetSilentWorkers (): void {
-    if (this.unreported === 0) return
+    if (this.unreportedCount === 0) return
     for (const [name, entry] of this.workers) {
       if (entry.listed || entry.reportedAt !== undefined) continue
       this.workers.delete(name)
-      this.unreported -= 1
+      this.unreportedCount -= 1
     }
   }
 
-  addJob (job: Job, now: number, mayBePlaced: boolean): JobEntry | undefined {
+  addJob (job: Job, now: number, mayAlreadyBePlaced: boolean): JobEntry | undefined {
     if (this.jobs.has(job.identity)) return undefined
-    const added = new JobEntry(job, now, ++this.order, mayBePlaced, this.teams.useOf(job.team))
+    const added = new JobEntry(job, now, ++this.lastOrder, mayAlreadyBePlaced, this.teams.usageOf(job.team))
     this.jobs.set(job.identity, added)
     for (const entry of this.orphans.get(job.identity) ?? []) this.adoptOrphans(entry, added, now)
     this.orphans.delete(job.identity)
     return added
   }
 
-  /** Forgets a job whose end is in the log; its ended attempts may then be forgotten by their workers. */
+  /** Removes a job whose end is in the log, so that workers may forget its ended attempts. */
   forgetJob (identity: string): void {
     const job = this.jobs.get(identity)
     if (job === undefined) return
     for (const task of job.tasks) {
       if (task.phase === 'finished') this.acknowledgeFinished(task)
     }
-    for (const entry of job.places === 0 ? [] : this.workers.values()) {
+    for (const entry of job.holdCount === 0 ? [] : this.workers.values()) {
       for (const hold of entry.worker.held) {
-        if (hold.job === identity) this.beginStop(entry, hold, 0)
+        if (hold.job === identity) this.requestStop(entry, hold, 0)
       }
     }
-    job.leaveTeam()
+    job.releaseTeamUsage()
     this.jobs.delete(identity)
   }
 
-  /** Marks a task as finished that the log says to be. */
+  /** Applies the end of a task that the log records as finished. */
   finishTask (job: string, index: number, now: number): void {
     const task = this.jobs.get(job)?.tasks[index]
     if (task === undefined) return
@@ -94,7 +95,7 @@
       this.acknowledgeFinished(task)
       return
     }
-    this.stopCurrent(task, now)
+    this.stopCurrentAttempt(task, now)
     task.job.setPhase(task, 'finished')
     task.attempt = undefined
     task.worker = undefined
@@ -110,35 +111,35 @@
     task.worker = entry.worker.name
     task.startedAt = now
     task.job.setPhase(task, 'starting')
-    task.job.changePlaces(task, 1)
+    task.job.changeHoldCount(task, 1)
     this.observer.onWorkerChanged(entry)
     return true
   }
 
-  /** Takes back a placement whose command was not sent. */
-  unplace (task: TaskEntry): void {
+  /** Undoes a placement whose command was not sent. */
+  undoPlacement (task: TaskEntry): void {
     const entry = task.worker === undefined ? undefined : this.workers.get(task.worker)
     const hold = entry?.worker.find(task.task)
     if (entry !== undefined && hold !== undefined) this.release(entry, hold)
   }
 
-  /** Notes that a start command is on its way. */
-  noteStart (entry: WorkerEntry, attempt: Attempt): void {
+  /** Records that a start command is in flight. */
+  trackStart (entry: WorkerEntry, attempt: Attempt): void {
     this.startsInFlight.set(attempt.sequence, entry)
   }
 
-  /** Whether a start command for the attempt has no outcome yet. It is not acknowledged then, or a late command would run it again. */
-  startInFlight (attempt: Attempt): boolean {
+  /** Returns whether a start command for the attempt has no outcome yet. Such an attempt is not acknowledged, or a delayed command would run it again. */
+  isStartInFlight (attempt: Attempt): boolean {
     return attempt.term === this.term && this.startsInFlight.has(attempt.sequence)
   }
 
-  /** Takes note of the outcome of a start command. */
+  /** Processes the outcome of a start command. */
   onStartOutcome (task: string, attempt: Attempt, outcome: StartOutcome, now: number): void {
     const entry = this.startsInFlight.get(attempt.sequence)
     if (entry === undefined || attempt.term !== this.term) return
     this.startsInFlight.delete(attempt.sequence)
     if (outcome === 'stale') this.superseded = true
-    if (outcome === 'notSent' || outcome === 'refused') this.avoid(entry, now)
+    if (outcome === 'notSent' || outcome === 'refused') this.avoidTemporarily(entry, now)
     const hold = entry.worker.find(task)
     if (hold === undefined || compareAttempts(hold.attempt, attempt) !== 0) return
     hold.renewedAt = Math.max(hold.renewedAt, now)
@@ -157,15 +158,15 @@
   }
 
   /**
-   * Takes note of a worker's report.
-   * @param requestedAt Time at which the request for it was sent. Whatever was confirmed before must be in it.
+   * Processes a worker's report.
+   * @param requestedAt Time at which the request for it was sent. The report must list every attempt that was confirmed before.
    */
   onReport (name: string, report: WorkerReport, now: number, requestedAt: number): void {
     const entry = this.workers.get(name)
     if (report.term > this.term) this.superseded = true
     if (entry === undefined || report.term !== this.term || requestedAt < entry.reportRequestedAt) return
-    const first = entry.reportedAt === undefined
-    if (first) this.unreported -= 1
+    const isFirstReport = entry.reportedAt === undefined
+    if (isFirstReport) this.unreportedCount -= 1
     entry.reportedAt = now
     entry.reportRequestedAt = requestedAt
     entry.endedOrphans.clear()
@@ -177,43 +178,43 @@
     for (const hold of [...entry.worker.held]) {
       if (listed.has(hold.task)) continue
       if (hold.confirmedAt === undefined) this.repeatStart(entry, hold, now, requestedAt)
-      else if (hold.confirmedAt < requestedAt) this.lose(entry, hold)
+      else if (hold.confirmedAt < requestedAt) this.releaseLost(entry, hold)
     }
-    for (const [task, attempt] of entry.acknowledge) {
+    for (const [task, attempt] of entry.pendingAcknowledgements) {
       const reported = listed.get(task)
-      if (reported === undefined || compareAttempts(reported, attempt) !== 0) entry.acknowledge.delete(task)
+      if (reported === undefined || compareAttempts(reported, attempt) !== 0) entry.pendingAcknowledgements.delete(task)
     }
-    if (first) this.observer.onWorkerChanged(entry)
+    if (isFirstReport) this.observer.onWorkerChanged(entry)
   }
 
-  /** Orders the attempt that a task has at present to be stopped; with `checkpoint`, to be checkpointed first. */
-  stopCurrent (task: TaskEntry, now: number, checkpoint = false): void {
+  /** Requests a stop of the current attempt of a task; with `checkpoint`, the attempt is checkpointed first. */
+  stopCurrentAttempt (task: TaskEntry, now: number, checkpoint = false): void {
     const entry = task.worker === undefined ? undefined : this.workers.get(task.worker)
     const hold = entry?.worker.find(task.task)
     if (entry === undefined || hold === undefined) return
     if (hold.state !== 'stopping') hold.checkpointFirst = checkpoint
-    this.beginStop(entry, hold, now)
+    this.requestStop(entry, hold, now)
   }
 
-  /** Releases what is held by attempts whose lease has certainly lapsed. */
+  /** Releases the resources of attempts whose lease must have lapsed. */
   releaseLapsed (now: number): void {
-    for (let held = this.timers.takeLapsed(now); held !== undefined; held = this.timers.takeLapsed(now)) this.lose(held.entry, held.hold)
+    for (let held = this.timers.takeLapsed(now); held !== undefined; held = this.timers.takeLapsed(now)) this.releaseLost(held.entry, held.hold)
   }
 
-  /** Returns at most `limit` holds whose stop is to be sent or whose start is to be repeated now. */
+  /** Returns at most `limit` holds whose stop must be sent or whose start must be repeated now. */
   takeCommands (now: number, limit: number): HeldAttempt[] {
     return this.timers.takeCommands(now, limit)
   }
 
-  /** Stops running attempts of jobs that are not known, and lets workers forget ended ones. To be called only when all open jobs are known. */
-  settleOrphans (now: number): void {
-    for (const [job, places] of this.orphans) {
-      for (const entry of places) {
+  /** Stops running attempts of unknown jobs, and lets workers forget ended ones. Must be called only after all open jobs have been added. */
+  resolveOrphans (now: number): void {
+    for (const [job, holders] of this.orphans) {
+      for (const entry of holders) {
         for (const [task, reported] of entry.endedOrphans) {
-          if (jobOfTask(task) === job) entry.acknowledge.set(task, reported.attempt)
+          if (jobOfTask(task) === job) entry.pendingAcknowledgements.set(task, reported.attempt)
         }
         for (const hold of entry.worker.held) {
-          if (hold.job === job) this.beginStop(entry, hold, now)
+          if (hold.job === job) this.requestStop(entry, hold, now)
         }
       }
     }
@@ -224,16 +225,16 @@
     return this.jobs.get(jobOfTask(task))?.tasks[indexOfTask(task)]
   }
 
-  /** Repeats a start of unknown outcome at a worker that answers and does not have it. A silent worker gets none, so that the lease lapses. */
+  /** Repeats a start of unknown outcome on a worker that reports and does not list it. A silent worker receives none, so that the lease lapses. */
   private repeatStart (entry: WorkerEntry, hold: Hold, now: number, requestedAt: number): void {
     const stillWanted = hold.state === 'unknown' && entry.listed && !entry.worker.leaving
     if (!stillWanted || hold.uncertainAt === undefined || hold.uncertainAt >= requestedAt) return
     hold.state = 'starting'
     hold.renewedAt = now
-    this.timers.planCommand(entry, hold, now)
+    this.timers.scheduleCommand(entry, hold, now)
   }
 
-  private lose (entry: WorkerEntry, hold: Hold): void {
+  private releaseLost (entry: WorkerEntry, hold: Hold): void {
     this.observer.onTaskLost(hold.task, entry.worker.name)
     this.release(entry, hold)
   }
@@ -244,9 +245,9 @@
     const entry = known ?? new WorkerEntry(description)
     if (known === undefined) {
       this.workers.set(description.name, entry)
-      this.unreported += 1
+      this.unreportedCount += 1
     }
-    if (entry.list(description, leaving) || known === undefined) this.observer.onWorkerChanged(entry)
+    if (entry.applyListing(description, leaving) || known === undefined) this.observer.onWorkerChanged(entry)
   }
 
   private onReportedTask (entry: WorkerEntry, reported: ReportedTask, now: number): void {
@@ -262,17 +263,17 @@
     if (hold === undefined || compareAttempts(reported.attempt, hold.attempt) > 0) hold = this.adopt(entry, task, reported, now)
     hold.confirmedAt ??= now
     if (task === undefined) {
-      this.noteOrphan(jobOfTask(reported.task), entry)
+      this.addOrphanHolder(jobOfTask(reported.task), entry)
       return
     }
     this.setRunning(entry, hold)
     const newer = task.attempt === undefined || compareAttempts(reported.attempt, task.attempt) > 0
     if (task.phase === 'finished' || (!newer && task.worker !== entry.worker.name)) {
-      this.beginStop(entry, hold, now)
+      this.requestStop(entry, hold, now)
       return
     }
     if (!newer) return
-    this.stopCurrent(task, now)
+    this.stopCurrentAttempt(task, now)
     task.attempt = reported.attempt
     task.worker = entry.worker.name
     task.job.setPhase(task, hold.state === 'stopping' ? 'stopping' : 'running')
@@ -288,28 +289,28 @@
     if (task === undefined) {
       if (hold !== undefined) this.release(entry, hold)
       entry.endedOrphans.set(reported.task, reported)
-      this.noteOrphan(jobOfTask(reported.task), entry)
+      this.addOrphanHolder(jobOfTask(reported.task), entry)
       return
     }
-    const acknowledged = entry.acknowledge.get(reported.task)
+    const acknowledged = entry.pendingAcknowledgements.get(reported.task)
     const seen = acknowledged !== undefined && compareAttempts(acknowledged, reported.attempt) === 0
     if (reported.state === 'finished') {
       this.onFinished(entry, task, reported, now)
     } else {
-      entry.acknowledge.set(reported.task, reported.attempt)
+      entry.pendingAcknowledgements.set(reported.task, reported.attempt)
       if (reported.state === 'failed' && !seen) this.observer.onTaskEnded(entry, task, 'failed', now)
     }
     if (hold !== undefined) this.release(entry, hold)
     this.observer.onJobChanged(task.job)
   }
 
-  /** The report of a finished task stays at its worker until the log tells of it, for an owner that comes later. */
+  /** Processes a finished task. Its worker keeps the report until the log contains it, for a later owner. */
   private onFinished (entry: WorkerEntry, task: TaskEntry, reported: ReportedTask, now: number): void {
     if (task.phase === 'finished') {
-      if (task.attempt === undefined || compareAttempts(task.attempt, reported.attempt) !== 0) entry.acknowledge.set(reported.task, reported.attempt)
+      if (task.attempt === undefined || compareAttempts(task.attempt, reported.attempt) !== 0) entry.pendingAcknowledgements.set(reported.task, reported.attempt)
       return
     }
-    if (task.attempt !== undefined && compareAttempts(task.attempt, reported.attempt) !== 0) this.stopCurrent(task, now)
+    if (task.attempt !== undefined && compareAttempts(task.attempt, reported.attempt) !== 0) this.stopCurrentAttempt(task, now)
     task.attempt = reported.attempt
     task.worker = entry.worker.name
     task.job.setPhase(task, 'finished')
@@ -321,7 +322,7 @@
 
   private acknowledgeFinished (task: TaskEntry): void {
     if (task.worker === undefined || task.attempt === undefined) return
-    this.workers.get(task.worker)?.acknowledge.set(task.task, task.attempt)
+    this.workers.get(task.worker)?.pendingAcknowledgements.set(task.task, task.attempt)
     task.worker = undefined
     task.attempt = undefined
   }
@@ -331,7 +332,7 @@
     for (const hold of [...entry.worker.held]) {
       const task = hold.job === identity ? job.tasks[indexOfTask(hold.task)] : undefined
       if (task === undefined) continue
-      job.changePlaces(task, 1)
+      job.changeHoldCount(task, 1)
       this.onReportedRunning(entry, task, { task: hold.task, attempt: hold.attempt, job: identity, taskIndex: task.index, state: 'running', resources: hold.resources, usage: hold.resources, checkpointMilliseconds: 0 }, now)
     }
     for (const [task, reported] of [...entry.endedOrphans]) {
@@ -346,7 +347,7 @@
     if (previous !== undefined) this.release(entry, previous)
     const hold = entry.worker.adopt(reported.task, jobOfTask(reported.task), reported.attempt, reported.resources, 'unknown', now)
     this.timers.track(entry, hold)
-    task?.job.changePlaces(task, 1)
+    task?.job.changeHoldCount(task, 1)
     this.observer.onWorkerChanged(entry)
     return hold
   }
@@ -360,10 +361,10 @@
     this.observer.onJobChanged(task.job)
   }
 
-  private beginStop (entry: WorkerEntry, hold: Hold, now: number): void {
+  private requestStop (entry: WorkerEntry, hold: Hold, now: number): void {
     if (hold.state === 'stopping') return
     hold.state = 'stopping'
-    this.timers.planCommand(entry, hold, now)
+    this.timers.scheduleCommand(entry, hold, now)
     const task = this.findTask(hold.task)
     if (task !== undefined && task.phase !== 'finished' && isCurrent(task, entry, hold)) task.job.setPhase(task, 'stopping')
   }
@@ -373,7 +374,7 @@
     this.observer.onWorkerChanged(entry)
     const task = this.findTask(hold.task)
     if (task === undefined) return
-    task.job.changePlaces(task, -1)
+    task.job.changeHoldCount(task, -1)
     if (task.phase !== 'finished' && isCurrent(task, entry, hold)) {
       task.attempt = undefined
       task.worker = undefined
@@ -382,15 +383,15 @@
     this.observer.onJobChanged(task.job)
   }
 
-  private avoid (entry: WorkerEntry, now: number): void {
+  private avoidTemporarily (entry: WorkerEntry, now: number): void {
     entry.avoidUntil = now + AVOID_AFTER_REFUSAL_MILLISECONDS
     this.observer.onWorkerChanged(entry)
   }
 
-  private noteOrphan (job: string, entry: WorkerEntry): void {
-    const places = this.orphans.get(job)
-    if (places === undefined) this.orphans.set(job, new Set([entry]))
-    else places.add(entry)
+  private addOrphanHolder (job: string, entry: WorkerEntry): void {
+    const holders = this.orphans.get(job)
+    if (holders === undefined) this.orphans.set(job, new Set([entry]))
+    else holders.add(entry)
   }
 }
 
--- a/src/scheduling/workerHealth.ts
+++ b/src/scheduling/workerHealth.ts
@@ -1,22 +1,22 @@
 import type { JobEntry, TaskEntry } from './jobState.js'
 import type { WorkerEntry } from './workerEntry.js'
 
-/** Failed attempts in a row after which a worker is suspected. */
+/** Consecutive failed attempts after which a worker is quarantined. */
 const FAILURES_BEFORE_QUARANTINE = 3
-/** Jobs that must be among them, so that one bad job does not quarantine workers. */
+/** Number of different jobs that must be among them, so that one bad job does not quarantine workers. */
 const JOBS_BEFORE_QUARANTINE = 2
-/** A job that has failed on this many workers is itself at fault; its failures say nothing about a worker. */
+/** A job that has failed on this many workers is itself considered faulty; its failures do not count against workers. */
 const WORKERS_BEFORE_JOB_SUSPECTED = 3
-/** First quarantine; each further one within the memory below lasts twice as long, up to the longest. In milliseconds. */
+/** First quarantine; each further one within the history period lasts twice as long, up to the longest. In milliseconds. */
 const FIRST_QUARANTINE_MILLISECONDS = 60_000
 const LONGEST_QUARANTINE_MILLISECONDS = 960_000
-const MEMORY_MILLISECONDS = 3_600_000
+const QUARANTINE_HISTORY_MILLISECONDS = 3_600_000
 
 interface Health {
   /** Attempts that have failed since the last one that finished. */
   failed: TaskEntry[]
   quarantinedUntil: number | undefined
-  /** Quarantines so far, for their length, and the end of the last one. */
+  /** Number of quarantines, which sets the length of the next, and the end of the last one. */
   quarantines: number
   releasedAt: number
 }
@@ -29,8 +29,8 @@
 }
 
 /**
- * Tells workers that fail everything from jobs that fail everywhere by counting distinct jobs and workers.
- * A quarantined worker gets nothing for a while, then one deferrable task as a probe; only a finished task releases it.
+ * Distinguishes workers on which everything fails from jobs that fail everywhere, by counting distinct jobs and workers.
+ * A quarantined worker receives no tasks until its quarantine ends, then one deferrable task as a probe; only a finished task releases it.
  */
 export class WorkerHealth {
   private readonly health = new Map<WorkerEntry, Health>()
@@ -43,7 +43,7 @@
     return now >= until && job.job.urgency === 'deferrable' && job.job.kind === 'batch' && entry.worker.heldCount === 0
   }
 
-  /** End of the worker's quarantine, or undefined if it is not in one. A probe may run after it. */
+  /** Returns the end of the worker's quarantine, or undefined if it is not quarantined. A probe may run after it. */
   quarantinedUntil (entry: WorkerEntry): number | undefined {
     return this.health.get(entry)?.quarantinedUntil
   }
@@ -64,19 +64,19 @@
     const health = this.health.get(entry) ?? { failed: [], quarantinedUntil: undefined, quarantines: 0, releasedAt: -Infinity }
     this.health.set(entry, health)
     if (health.quarantinedUntil !== undefined) {
-      this.forgive(task, entry)
-      if (now >= health.quarantinedUntil) health.quarantinedUntil = now + this.nextLength(health)
+      this.removeFailures(task, entry)
+      if (now >= health.quarantinedUntil) health.quarantinedUntil = now + this.nextQuarantineMilliseconds(health)
       return undefined
     }
     health.failed.push(task)
-    const telling = health.failed.filter(({ job }) => (this.jobsFailedOn.get(job)?.size ?? 0) < WORKERS_BEFORE_JOB_SUSPECTED)
-    const jobs = new Set(telling.map(({ job }) => job))
-    if (telling.length < FAILURES_BEFORE_QUARANTINE || jobs.size < JOBS_BEFORE_QUARANTINE) return undefined
-    if (now - health.releasedAt > MEMORY_MILLISECONDS) health.quarantines = 0
-    for (const failed of health.failed) this.forgive(failed, entry)
+    const countedFailures = health.failed.filter(({ job }) => (this.jobsFailedOn.get(job)?.size ?? 0) < WORKERS_BEFORE_JOB_SUSPECTED)
+    const jobs = new Set(countedFailures.map(({ job }) => job))
+    if (countedFailures.length < FAILURES_BEFORE_QUARANTINE || jobs.size < JOBS_BEFORE_QUARANTINE) return undefined
+    if (now - health.releasedAt > QUARANTINE_HISTORY_MILLISECONDS) health.quarantines = 0
+    for (const failed of health.failed) this.removeFailures(failed, entry)
     health.failed = []
-    health.quarantinedUntil = now + this.nextLength(health)
-    return { kind: 'workerQuarantined', worker: entry.worker.name, detail: `${telling.length} attempts of ${jobs.size} jobs failed in a row` }
+    health.quarantinedUntil = now + this.nextQuarantineMilliseconds(health)
+    return { kind: 'workerQuarantined', worker: entry.worker.name, detail: `${countedFailures.length} attempts of ${jobs.size} jobs failed in a row` }
   }
 
   forgetJob (job: JobEntry): void {
@@ -87,14 +87,14 @@
     this.health.delete(entry)
   }
 
-  /** A failure on a worker that fails everything does not count against the task. */
-  private forgive (task: TaskEntry, entry: WorkerEntry): void {
+  /** Removes the failures of a task on a worker that fails everything, so that they do not count against the task. */
+  private removeFailures (task: TaskEntry, entry: WorkerEntry): void {
     const count = task.failedOn.get(entry.worker.name) ?? 0
     task.failures -= count
     task.failedOn.delete(entry.worker.name)
   }
 
-  private nextLength (health: Health): number {
+  private nextQuarantineMilliseconds (health: Health): number {
     health.quarantines += 1
     return Math.min(LONGEST_QUARANTINE_MILLISECONDS, FIRST_QUARANTINE_MILLISECONDS * 2 ** (health.quarantines - 1))
   }
--- a/src/scheduling/workerIndex.ts
+++ b/src/scheduling/workerIndex.ts
@@ -1,40 +1,40 @@
 import { fitsWithin, type Resources } from '../contracts/resources.js'
 import type { WorkerEntry } from './workerEntry.js'
 
-/** Classes of free accelerators; more than that share the last class. */
+/** Classes of free accelerators; workers with more share the last class. */
 const ACCELERATOR_CLASSES = 17
 /** Classes of free processors and memory: four for each doubling, so that workers of one class differ by less than a fifth. */
 const CLASSES_PER_DOUBLING = 4
 const PROCESSOR_CLASSES = 96
 const MEMORY_CLASSES = 96
-/** Words of 32 bits for the memory classes of one row. */
+/** Number of 32-bit words for the memory classes of one row. */
 const WORDS_PER_ROW = MEMORY_CLASSES / 32
 const MEMORY_UNIT_BYTES = 2 ** 20
-/** Fitting workers that are compared before the best of them is taken. */
-const CANDIDATES = 8
-/** Workers of one class that are tried before the search goes on; the rest of the class is tried only if nothing else fits. */
-const TRIED_PER_CELL = 32
+/** Number of fitting workers that are compared before the best of them is chosen. */
+const CANDIDATES_TO_COMPARE = 8
+/** Workers of one cell that are tried before the search moves on; the rest of the cell is tried only if nothing else fits. */
+const TRIES_PER_CELL = 32
 
-/** Workers by free accelerators, processors and memory in classes; each change of a worker moves it in constant time. */
+/** Index of workers by classes of free accelerators, processors and memory. Updating a worker takes constant time. */
 export class WorkerIndex {
   private readonly cells: Array<WorkerEntry[] | undefined> = Array.from({ length: ACCELERATOR_CLASSES * PROCESSOR_CLASSES * MEMORY_CLASSES })
-  /** Memory classes that have workers, as bits by accelerator and processor class. */
+  /** Bitmap of the memory classes that contain workers, by accelerator and processor class. */
   private readonly occupied = new Uint32Array(ACCELERATOR_CLASSES * PROCESSOR_CLASSES * WORDS_PER_ROW)
   /** Number of workers by accelerator and processor class. */
   private readonly rowCounts = new Uint32Array(ACCELERATOR_CLASSES * PROCESSOR_CLASSES)
   private readonly layerCounts = new Uint32Array(ACCELERATOR_CLASSES)
 
-  /** Puts a worker where its free resources belong, or takes it out if it is not `present`. */
-  update (entry: WorkerEntry, present: boolean): void {
-    const cell = present ? cellOf(entry.worker.free) : -1
+  /** Moves a worker to the cell of its free resources, or removes it if it is not `schedulable`. */
+  update (entry: WorkerEntry, schedulable: boolean): void {
+    const cell = schedulable ? cellOf(entry.worker.free) : -1
     if (cell === entry.indexCell) return
     if (entry.indexCell >= 0) this.remove(entry)
     if (cell >= 0) this.insert(entry, cell)
   }
 
-  /** Returns an accepted worker with room for the demand that has little left over, or undefined if there is none. */
+  /** Returns an accepted worker that fits the demand with little left over, or undefined if there is none. */
   choose (demand: Resources, accept: (entry: WorkerEntry) => boolean): WorkerEntry | undefined {
-    const search = new Search(demand, accept)
+    const search = new BestFitSearch(demand, accept)
     const skipped: WorkerEntry[][] = []
     const firstProcessorClass = processorClass(demand.processorsThousandths)
     const firstMemoryClass = memoryClass(demand.memoryBytes)
@@ -45,20 +45,20 @@
         if (this.rowCounts[rowIndex] === 0) continue
         for (let column = this.nextColumn(rowIndex, firstMemoryClass); column >= 0; column = this.nextColumn(rowIndex, column + 1)) {
           const workers = this.cells[rowIndex * MEMORY_CLASSES + column] as WorkerEntry[]
-          if (search.tryAll(workers, TRIED_PER_CELL)) skipped.push(workers)
-          if (search.found >= CANDIDATES) return search.best
+          if (search.tryWorkers(workers, TRIES_PER_CELL)) skipped.push(workers)
+          if (search.fittingCount >= CANDIDATES_TO_COMPARE) return search.best
         }
       }
       if (search.best !== undefined) return search.best
     }
     for (const workers of skipped) {
-      search.tryAll(workers, Infinity)
+      search.tryWorkers(workers, Infinity)
       if (search.best !== undefined) return search.best
     }
     return undefined
   }
 
-  /** Returns the next memory class of a row that has workers, or -1. */
+  /** Returns the next memory class of a row that contains workers, or -1. */
   private nextColumn (row: number, from: number): number {
     for (let word = from >> 5; word < WORDS_PER_ROW; word += 1) {
       const bits = (this.occupied[row * WORDS_PER_ROW + word] as number) & (word === from >> 5 ? -1 << (from & 31) : -1)
@@ -70,11 +70,11 @@
   private insert (entry: WorkerEntry, cell: number): void {
     const workers = this.cells[cell] ?? []
     this.cells[cell] = workers
-    if (workers.length === 0) this.flipOccupied(cell)
+    if (workers.length === 0) this.toggleOccupied(cell)
     entry.indexCell = cell
     entry.indexPosition = workers.length
     workers.push(entry)
-    this.count(cell, 1)
+    this.adjustCounts(cell, 1)
   }
 
   private remove (entry: WorkerEntry): void {
@@ -84,18 +84,18 @@
       workers[entry.indexPosition] = last
       last.indexPosition = entry.indexPosition
     }
-    if (workers.length === 0) this.flipOccupied(entry.indexCell)
-    this.count(entry.indexCell, -1)
+    if (workers.length === 0) this.toggleOccupied(entry.indexCell)
+    this.adjustCounts(entry.indexCell, -1)
     entry.indexCell = -1
   }
 
-  private flipOccupied (cell: number): void {
+  private toggleOccupied (cell: number): void {
     const column = cell % MEMORY_CLASSES
     const word = Math.floor(cell / MEMORY_CLASSES) * WORDS_PER_ROW + (column >> 5)
     this.occupied[word] = (this.occupied[word] as number) ^ (1 << (column & 31))
   }
 
-  private count (cell: number, change: 1 | -1): void {
+  private adjustCounts (cell: number, change: 1 | -1): void {
     const row = Math.floor(cell / MEMORY_CLASSES)
     const layer = Math.floor(row / PROCESSOR_CLASSES)
     this.rowCounts[row] = (this.rowCounts[row] as number) + change
@@ -103,34 +103,34 @@
   }
 }
 
-/** Keeps the best of the workers tried so far. */
-class Search {
+/** Tracks the best of the workers tried so far. */
+class BestFitSearch {
   best: WorkerEntry | undefined
-  found = 0
+  fittingCount = 0
   private bestScore = Infinity
 
   constructor (private readonly demand: Resources, private readonly accept: (entry: WorkerEntry) => boolean) {}
 
-  /** Tries at most `limit` workers; returns whether some were left out. */
-  tryAll (workers: readonly WorkerEntry[], limit: number): boolean {
+  /** Tries at most `limit` workers; returns whether some were skipped. */
+  tryWorkers (workers: readonly WorkerEntry[], limit: number): boolean {
     const count = Math.min(workers.length, limit)
     for (let index = 0; index < count; index += 1) {
       const entry = workers[index] as WorkerEntry
       if (!fitsWithin(this.demand, entry.worker.free) || !this.accept(entry)) continue
-      this.found += 1
-      const score = leftOver(this.demand, entry)
+      this.fittingCount += 1
+      const score = leftoverScore(this.demand, entry)
       if (score < this.bestScore) {
         this.best = entry
         this.bestScore = score
       }
-      if (this.found >= CANDIDATES) return false
+      if (this.fittingCount >= CANDIDATES_TO_COMPARE) return false
     }
     return count < workers.length
   }
 }
 
-/** Share of a worker that a demand leaves free; accelerators that the demand has no use for count most. */
-export function leftOver (demand: Resources, entry: WorkerEntry): number {
+/** Returns the share of a worker that a demand leaves free; unneeded accelerators have the greatest weight. */
+export function leftoverScore (demand: Resources, entry: WorkerEntry): number {
   const { free, description: { capacity } } = entry.worker
   const processors = (free.processorsThousandths - demand.processorsThousandths) / Math.max(1, capacity.processorsThousandths)
   const memory = (free.memoryBytes - demand.memoryBytes) / Math.max(1, capacity.memoryBytes)
