--- a/src/entry/keyTask.ts
+++ b/src/entry/keyTask.ts
@@ -106,13 +106,13 @@
     if (!this.follower.hasCaughtUp) return { kind: 'unavailable' }
     const decision = this.keys.decide(key, request, Date.now(), this.windowMilliseconds())
     if (decision.kind !== 'run') return decision
-    if (this.keys.hasWon(key, request)) return { kind: 'run', unlogged: false }
+    if (this.keys.isHeldBy(key, request)) return { kind: 'run', unlogged: false }
     this.keys.reserve(key, request, Date.now())
     const until = monotonicNow() + LOG_TIMEOUT_MILLISECONDS
     const confirmed = await within(this.appendStarted(key, request), LOG_TIMEOUT_MILLISECONDS)
     if (confirmed === true) await this.readBack(key, request, until)
     if (!this.ownership.isOwner()) return { kind: 'unavailable' }
-    if (this.keys.hasWon(key, request)) return { kind: 'run', unlogged: false }
+    if (this.keys.isHeldBy(key, request)) return { kind: 'run', unlogged: false }
     // Without the log the key is held in two memories: this one and that of the asking instance.
     if (confirmed !== true && !this.follower.reachable) return this.keys.decide(key, request, Date.now(), this.windowMilliseconds())
     const now = this.keys.decide(key, request, Date.now(), this.windowMilliseconds())
@@ -121,7 +121,7 @@
 
   /** Waits until the record of a key has been read from the log, whoever wrote it. */
   private async readBack (key: string, request: string, until: number): Promise<void> {
-    while (!this.keys.hasWon(key, request) && monotonicNow() < until) {
+    while (!this.keys.isHeldBy(key, request) && monotonicNow() < until) {
       if (this.keys.decide(key, request, Date.now(), this.windowMilliseconds()).kind !== 'run') return
       await delay(READ_BACK_POLL_MILLISECONDS)
     }
--- a/src/requests/idempotencyKeys.ts
+++ b/src/requests/idempotencyKeys.ts
@@ -77,7 +77,7 @@
   }
 
   /** Whether the record of this request has been read back and won. */
-  hasWon (key: string, request: string): boolean {
+  isHeldBy (key: string, request: string): boolean {
     return this.entries.get(key)?.request === request
   }
 
--- a/test/requests/idempotencyKeys.test.ts
+++ b/test/requests/idempotencyKeys.test.ts
@@ -49,14 +49,14 @@
     assert.equal(keys.decide('k', 'b', 1, WINDOW).kind, 'outcomeUnknown')
     assert.equal(keys.decide('k', 'a', 1, WINDOW).kind, 'run')
     keys.apply(started('a'), WINDOW)
-    assert.equal(keys.hasWon('k', 'a'), true)
+    assert.equal(keys.isHeldBy('k', 'a'), true)
   })
 
   it('the record of an earlier owner that is read first wins over a reservation', () => {
     const keys = new IdempotencyKeys()
     keys.reserve('k', 'b', 0)
     keys.apply(started('a'), WINDOW)
-    assert.equal(keys.hasWon('k', 'b'), false)
+    assert.equal(keys.isHeldBy('k', 'b'), false)
     assert.notEqual(keys.decide('k', 'b', 1, WINDOW).kind, 'run')
   })
 
