--- a/src/requests/poolDispatcher.ts
+++ b/src/requests/poolDispatcher.ts
@@ -1,7 +1,7 @@
 import { urgencyRank, URGENCY_CLASSES, type Urgency } from '../contracts/siteText.js'
 import type { Executor } from '../machines/executor.js'
 import type { ExecutorCandidate, ExecutorChooser } from './executorChooser.js'
-import { LESS_URGENT_SHARE, WaitingQueue, type WaitingRequest } from './waitingQueue.js'
+import { DISPATCHES_PER_LESS_URGENT_TURN, WaitingQueue, type WaitingRequest } from './waitingQueue.js'
 
 /** A waiting request with the executors that it has been sent to. */
 export interface DispatchableRequest extends WaitingRequest {
@@ -125,7 +125,7 @@
     if (rate === 0) return 0
     if (idle && this.queue.length === 0) return fastest
     const moreUrgent = this.classShares.slice(0, urgencyRank(urgency)).reduce((sum, share) => sum + share, 0)
-    const share = Math.max(1 - moreUrgent, 1 / LESS_URGENT_SHARE)
+    const share = Math.max(1 - moreUrgent, 1 / DISPATCHES_PER_LESS_URGENT_TURN)
     return (this.queue.countAhead(urgency) + 1) / (rate * share) + fastest
   }
 
--- a/src/requests/waitingQueue.ts
+++ b/src/requests/waitingQueue.ts
@@ -9,7 +9,7 @@
 }
 
 /** One of this many dispatches starts with each less urgent class, so that none is starved. */
-export const LESS_URGENT_SHARE = 32
+export const DISPATCHES_PER_LESS_URGENT_TURN = 32
 /** Removed requests stay in the heaps until they outnumber the waiting ones by this factor. */
 const COMPACTION_FACTOR = 2
 const COMPACTION_MINIMUM = 64
@@ -147,8 +147,8 @@
 
   /** The less urgent class whose turn it is. */
   private favoured (): UrgencyClass<T> | undefined {
-    const turn = this.dispatches % LESS_URGENT_SHARE
+    const turn = this.dispatches % DISPATCHES_PER_LESS_URGENT_TURN
     if (turn === 0) return this.classes[urgencyRank('deferrable')]
-    return turn === LESS_URGENT_SHARE / 2 ? this.classes[urgencyRank('normal')] : undefined
+    return turn === DISPATCHES_PER_LESS_URGENT_TURN / 2 ? this.classes[urgencyRank('normal')] : undefined
   }
 }
