--- a/bench/requestSimulation.ts
+++ b/bench/requestSimulation.ts
@@ -6,7 +6,7 @@
 import type { Urgency } from '../src/contracts/siteText.js'
 import { ejectOutlier, Executor } from '../src/machines/executor.js'
 import type { ExecutorChooser } from '../src/requests/executorChooser.js'
-import { PoolDispatcher, type DispatchableRequest, type SlotView } from '../src/requests/poolDispatcher.js'
+import { PoolDispatcher, type DispatchableRequest, type SlotSource } from '../src/requests/poolDispatcher.js'
 import { GRANT_VALID_MILLISECONDS, SlotAllocator, type HolderGrants } from '../src/requests/slotAllocator.js'
 import { SlotHolder } from '../src/requests/slotHolder.js'
 
@@ -57,7 +57,7 @@
   readonly executors: Executor[]
   readonly dispatcher: PoolDispatcher<SimulatedRequest>
   readonly holder: SlotHolder
-  readonly slots: SlotView & { release (executor: string): void }
+  readonly slots: SlotSource & { release (executor: string): void }
 }
 
 const SLOTS = 8
@@ -250,7 +250,7 @@
 }
 
 /** Slots that do not move. */
-class FixedSlots implements SlotView {
+class FixedSlots implements SlotSource {
   private readonly used = new Map<string, number>()
 
   constructor (private readonly slots: readonly number[]) {}
--- a/src/requests/poolDispatcher.ts
+++ b/src/requests/poolDispatcher.ts
@@ -9,7 +9,7 @@
 }
 
 /** Slots as the dispatcher sees them. */
-export interface SlotView {
+export interface SlotSource {
   free (executor: string, now: number): number
   inFlight (executor: string): number
   acquire (executor: string, now: number): boolean
@@ -43,7 +43,7 @@
   private readonly classShares = URGENCY_CLASSES.map(() => 0)
   private lastSlotsAt: number | undefined
 
-  constructor (private readonly slots: SlotView, private readonly chooser: ExecutorChooser, capacity: number) {
+  constructor (private readonly slots: SlotSource, private readonly chooser: ExecutorChooser, capacity: number) {
     this.queue = new WaitingQueue<T>(capacity)
   }
 
