--- a/src/entry/frontDoor.ts
+++ b/src/entry/frontDoor.ts
@@ -93,7 +93,7 @@
 
   /** Whether an urgent request waits for a slot. */
   get urgentWaits (): boolean {
-    return [...this.pools.values()].some(pool => pool.urgentWaits)
+    return [...this.pools.values()].some(pool => pool.hasUrgentWaiting)
   }
 
   /** Whether new requests are refused because the instance stops. */
--- a/src/requests/poolDispatcher.ts
+++ b/src/requests/poolDispatcher.ts
@@ -52,7 +52,7 @@
   }
 
   /** Whether an urgent request waits. */
-  get urgentWaits (): boolean {
+  get hasUrgentWaiting (): boolean {
     return this.queue.count('urgent') > 0
   }
 
