--- a/bench/requestSimulation.ts
+++ b/bench/requestSimulation.ts
@@ -210,7 +210,7 @@
   private report (instance: SimulatedInstance): void {
     const { sequence, uses } = instance.holder.startReport(this.now)
     const inFlight = uses.reduce((sum, use) => sum + use.inFlight, 0)
-    const report = { type: 'slotReport' as const, logicalTime: 1, term: 1, sequence, appliedGrant: instance.holder.appliedSequence, demand: { [POOL]: instance.dispatcher.weightedWaiting + inFlight }, uses, leaving: false }
+    const report = { type: 'slotReport' as const, logicalTime: 1, term: 1, sequence, appliedGrant: instance.holder.appliedSequence, demand: { [POOL]: instance.dispatcher.weightedQueueLength + inFlight }, uses, leaving: false }
     this.transmit({ ...report, uses: encodeUses(uses) }, () => {
       for (const decision of this.allocator.onReport(instance.name, report, this.now)) this.sendGrants(decision)
     })
--- a/src/entry/frontDoor.ts
+++ b/src/entry/frontDoor.ts
@@ -111,7 +111,7 @@
   /** Waiting requests, weighted by urgency, and running ones by executor pool, for the division of slots. */
   demand (): Record<string, number> {
     const demand: Record<string, number> = {}
-    for (const [name, pool] of this.pools) demand[name] = pool.weightedWaiting
+    for (const [name, pool] of this.pools) demand[name] = pool.weightedQueueLength
     for (const executor of this.executors.values()) demand[executor.pool] = (demand[executor.pool] ?? 0) + this.slots.inFlight(executor.name)
     return demand
   }
--- a/src/requests/poolDispatcher.ts
+++ b/src/requests/poolDispatcher.ts
@@ -57,7 +57,7 @@
   }
 
   /** Waiting requests weighted by urgency, so that slots move first to instances where urgent ones wait. */
-  get weightedWaiting (): number {
+  get weightedQueueLength (): number {
     return Math.ceil(URGENCY_CLASSES.reduce((sum, urgency) => sum + this.queue.count(urgency) * DEMAND_WEIGHT[urgency], 0))
   }
 
