--- a/src/requests/poolDivision.ts
+++ b/src/requests/poolDivision.ts
@@ -19,7 +19,7 @@
  * Which holders of a pool should get free slots and which should give some up. Slots stay where they are unless
  * a holder with waiting requests gains, so that shares that vary a little cause no messages and no idle slots.
  */
-export class PoolDivision {
+export class PoolBalancer {
   private readonly needs: HolderNeed[]
 
   constructor (private readonly executors: readonly ExecutorLimits[], live: ReadonlyArray<[string, HolderState]>) {
--- a/src/requests/slotAllocator.ts
+++ b/src/requests/slotAllocator.ts
@@ -1,5 +1,5 @@
 import type { SlotGrant, SlotUse } from '../contracts/linkMessages.js'
-import { PoolDivision } from './poolDivision.js'
+import { PoolBalancer } from './poolDivision.js'
 import type { Amount, Commitment, ExecutorLimits, HolderState } from './slotCommitments.js'
 
 /** A holder's report as the allocator reads it. */
@@ -125,7 +125,7 @@
     const live = [...this.holders].filter(([, state]) => !state.leaving && now - state.lastReportAt < SILENT_MILLISECONDS)
     const changed = new Set([reporter])
     for (const executors of this.executorsByPool()) {
-      const division = new PoolDivision(executors, live)
+      const division = new PoolBalancer(executors, live)
       for (const executor of executors) {
         this.lowerToLimit(executor, live, changed)
         const free = this.usable(executor, now).slots - this.committed(executor.name).slots
@@ -147,7 +147,7 @@
   }
 
   /** Gives a free slot to the holder that needs it most. */
-  private raise (executor: ExecutorLimits, division: PoolDivision, changed: Set<string>, now: number): void {
+  private raise (executor: ExecutorLimits, division: PoolBalancer, changed: Set<string>, now: number): void {
     const holder = division.takeReceiver()
     const state = holder === undefined ? undefined : this.holders.get(holder)
     if (holder === undefined || state === undefined) return
