--- a/src/requests/slotAllocator.ts
+++ b/src/requests/slotAllocator.ts
@@ -1,5 +1,5 @@
 import type { SlotGrant, SlotUse } from '../contracts/linkMessages.js'
-import { PoolBalancer } from './poolDivision.js'
+import { PoolBalancer } from './poolBalancer.js'
 import type { Amount, Commitment, ExecutorLimits, HolderState } from './slotCommitments.js'
 
 /** A holder's report as the allocator reads it. */
