--- a/src/requests/poolBalancer.ts
+++ b/src/requests/poolBalancer.ts
@@ -39,7 +39,7 @@
   }
 
   /** Name of the holder that gets the next free slot, counted as given; holders with waiting requests come first. */
-  takeReceiver (): string | undefined {
+  takeRecipient (): string | undefined {
     let best: HolderNeed | undefined
     for (const need of this.needs) {
       if (best === undefined || comesBefore(need, best)) best = need
--- a/src/requests/slotAllocator.ts
+++ b/src/requests/slotAllocator.ts
@@ -148,7 +148,7 @@
 
   /** Gives a free slot to the holder that needs it most. */
   private raise (executor: ExecutorLimits, division: PoolBalancer, changed: Set<string>, now: number): void {
-    const holder = division.takeReceiver()
+    const holder = division.takeRecipient()
     const state = holder === undefined ? undefined : this.holders.get(holder)
     if (holder === undefined || state === undefined) return
     const commitment = state.commitments.get(executor.name) ?? this.emptyCommitment(executor.name, now)
