--- a/src/entry/slotTask.ts
+++ b/src/entry/slotTask.ts
@@ -6,7 +6,7 @@
 import type { LinkTransport } from '../links/linkHub.js'
 import type { PeerIdentity } from '../links/handshake.js'
 import type { Membership } from '../machines/membership.js'
-import { RunBounds } from '../requests/runBounds.js'
+import { RunTimeBounds } from '../requests/runBounds.js'
 import { GRANT_DRIFT_MARGIN_MILLISECONDS, GRANT_VALID_MILLISECONDS, SlotAllocator, type HolderGrants } from '../requests/slotAllocator.js'
 import type { ExecutorLimits } from '../requests/slotCommitments.js'
 import { SlotHolder } from '../requests/slotHolder.js'
@@ -34,7 +34,7 @@
   private allocatorTerm = 0
   private lastTerm: number | undefined
   private leaving = false
-  private readonly runBounds = new RunBounds(GRANT_VALID_MILLISECONDS + GRANT_DRIFT_MARGIN_MILLISECONDS)
+  private readonly runBounds = new RunTimeBounds(GRANT_VALID_MILLISECONDS + GRANT_DRIFT_MARGIN_MILLISECONDS)
   private readonly instanceOfHolder = new Map<string, string>()
   private readonly didChange = new Emitter<void>()
   /** Fires when grants have been applied. */
@@ -183,7 +183,7 @@
 }
 
 /** Limits of the executors of a failure domain. */
-export function executorLimits (text: SiteText, membership: Membership, failureDomain: string, runBounds: RunBounds, now: number): ExecutorLimits[] {
+export function executorLimits (text: SiteText, membership: Membership, failureDomain: string, runBounds: RunTimeBounds, now: number): ExecutorLimits[] {
   const limits: ExecutorLimits[] = []
   const longest = new Map(Object.keys(text.executorPools).map(pool => [pool, runBounds.longest(pool, longestRun(text, pool), now)]))
   for (const executor of membership.executors(failureDomain)) {
--- a/src/requests/runBounds.ts
+++ b/src/requests/runBounds.ts
@@ -5,7 +5,7 @@
 }
 
 /** Longest run times that may still apply to requests in flight, after the site text has lowered them. Times are monotonic milliseconds. */
-export class RunBounds {
+export class RunTimeBounds {
   private readonly bounds = new Map<string, Bound[]>()
 
   /** @param grantEndMilliseconds Time in which a request may still be sent under the values that its instance knew before. */
--- a/test/requests/runBounds.test.ts
+++ b/test/requests/runBounds.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import { RunBounds } from '../../src/requests/runBounds.js'
+import { RunTimeBounds } from '../../src/requests/runBounds.js'
 
 /** Each step guards against slots granted again while a request of a longer run time may be running. */
 const STEPS: ReadonlyArray<readonly [now: number, inForce: number, longest: number]> = [
@@ -14,7 +14,7 @@
 
 describe('RunBounds', () => {
   it('keeps a lowered run time until requests sent under it have ended', () => {
-    const bounds = new RunBounds(10_000)
+    const bounds = new RunTimeBounds(10_000)
     for (const [now, inForce, longest] of STEPS) assert.equal(bounds.longest('pool', inForce, now), longest, `at ${now}`)
   })
 })
