--- a/test/requests/runBounds.test.ts
+++ b/test/requests/runBounds.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import { RunTimeBounds } from '../../src/requests/runBounds.js'
+import { RunTimeBounds } from '../../src/requests/runTimeBounds.js'
 
 /** Each step guards against slots granted again while a request of a longer run time may be running. */
 const STEPS: ReadonlyArray<readonly [now: number, inForce: number, longest: number]> = [
