--- a/src/entry/slotTask.ts
+++ b/src/entry/slotTask.ts
@@ -58,7 +58,7 @@
     }))
     // Instances that are not owner note lowered run times, too, for the case that they become owner.
     this.register(configuration.onDidChangeRevision(({ text }) => {
-      for (const pool of Object.keys(text.executorPools)) this.runBounds.longest(pool, longestRun(text, pool), monotonicNow())
+      for (const pool of Object.keys(text.executorPools)) this.runBounds.update(pool, longestRun(text, pool), monotonicNow())
     }))
     this.registerInterval(() => this.post({ kind: 'tick' }), REPORT_PERIOD_MILLISECONDS)
   }
@@ -185,7 +185,7 @@
 /** Limits of the executors of a failure domain. */
 export function executorLimits (text: SiteText, membership: Membership, failureDomain: string, runBounds: RunTimeBounds, now: number): ExecutorLimits[] {
   const limits: ExecutorLimits[] = []
-  const longest = new Map(Object.keys(text.executorPools).map(pool => [pool, runBounds.longest(pool, longestRun(text, pool), now)]))
+  const longest = new Map(Object.keys(text.executorPools).map(pool => [pool, runBounds.update(pool, longestRun(text, pool), now)]))
   for (const executor of membership.executors(failureDomain)) {
     const pool = text.executorPools[executor.pool]
     if (pool === undefined) continue
--- a/src/requests/runTimeBounds.ts
+++ b/src/requests/runTimeBounds.ts
@@ -12,7 +12,7 @@
   constructor (private readonly grantEndMilliseconds: number) {}
 
   /** Notes the value in force for a pool and returns the greatest that may still apply. */
-  longest (pool: string, inForce: number, now: number): number {
+  update (pool: string, inForce: number, now: number): number {
     const kept = (this.bounds.get(pool) ?? []).filter(bound => bound.until > now)
     const ended = kept.map(bound => bound.until === Infinity && bound.milliseconds !== inForce
       ? { milliseconds: bound.milliseconds, until: now + this.grantEndMilliseconds + bound.milliseconds }
--- a/test/requests/runTimeBounds.test.ts
+++ b/test/requests/runTimeBounds.test.ts
@@ -15,6 +15,6 @@
 describe('RunBounds', () => {
   it('keeps a lowered run time until requests sent under it have ended', () => {
     const bounds = new RunTimeBounds(10_000)
-    for (const [now, inForce, longest] of STEPS) assert.equal(bounds.longest('pool', inForce, now), longest, `at ${now}`)
+    for (const [now, inForce, longest] of STEPS) assert.equal(bounds.update('pool', inForce, now), longest, `at ${now}`)
   })
 })
