--- a/src/requests/slotAllocator.ts
+++ b/src/requests/slotAllocator.ts
@@ -1,6 +1,6 @@
 import type { SlotGrant, SlotUse } from '../contracts/linkMessages.js'
 import { PoolBalancer } from './poolBalancer.js'
-import type { Amount, Commitment, ExecutorLimits, HolderState } from './slotCommitments.js'
+import type { ExecutorCapacity, Commitment, ExecutorLimits, HolderState } from './slotCommitments.js'
 
 /** A holder's report as the allocator reads it. */
 export interface HolderReport {
@@ -30,7 +30,7 @@
 /** Unconfirmed grants remembered one by one; older ones are merged into their maximum. */
 const MAXIMUM_UNCONFIRMED = 32
 
-const NOTHING: Amount = { slots: 0, connections: 0 }
+const NOTHING: ExecutorCapacity = { slots: 0, connections: 0 }
 
 /**
  * The owner's division of executor slots and connections among the entry instances of its failure domain.
@@ -39,7 +39,7 @@
 export class SlotAllocator {
   private readonly holders = new Map<string, HolderState>()
   /** Slots and connections by executor that holders carried over from an earlier owner's grants. */
-  private readonly carriedOver = new Map<string, Amount>()
+  private readonly carriedOver = new Map<string, ExecutorCapacity>()
   /** Holders that have reported; a holder carries over earlier grants only with its first report. */
   private readonly seen = new Set<string>()
   private executors = new Map<string, ExecutorLimits>()
@@ -217,13 +217,13 @@
   }
 
   /** While requests of an earlier owner's grants may run, only what holders carried over is divided. */
-  private usable (executor: ExecutorLimits, now: number): Amount {
+  private usable (executor: ExecutorLimits, now: number): ExecutorCapacity {
     if (now >= this.earlierGrantsEnd + executor.maximumRunMilliseconds) return executor
     const carriedOver = this.carriedOver.get(executor.name) ?? NOTHING
     return { slots: Math.min(executor.slots, carriedOver.slots), connections: Math.min(executor.connections, carriedOver.connections) }
   }
 
-  private committed (executor: string): Amount {
+  private committed (executor: string): ExecutorCapacity {
     let slots = 0
     let connections = 0
     for (const state of this.holders.values()) {
@@ -252,7 +252,7 @@
   if (commitment !== undefined) commitment.granted = { ...commitment.granted, slots: Math.max(0, commitment.granted.slots - 1) }
 }
 
-function mergeOldest (unconfirmed: Array<Amount & { sequence: number }>): void {
+function mergeOldest (unconfirmed: Array<ExecutorCapacity & { sequence: number }>): void {
   const first = unconfirmed.shift()
   const second = unconfirmed[0]
   if (first === undefined || second === undefined) return
--- a/src/requests/slotCommitments.ts
+++ b/src/requests/slotCommitments.ts
@@ -9,7 +9,7 @@
 }
 
 /** Slots and connections of one executor. */
-export interface Amount {
+export interface ExecutorCapacity {
   readonly slots: number
   readonly connections: number
 }
@@ -19,11 +19,11 @@
   slots: number
   connections: number
   /** Grants sent that the holder has not confirmed, oldest first. */
-  unconfirmed: Array<Amount & { sequence: number }>
+  unconfirmed: Array<ExecutorCapacity & { sequence: number }>
   /** In flight by the last report. */
   inFlight: number
   /** Last amount decided; never more slots than the holder counts for. */
-  granted: Amount
+  granted: ExecutorCapacity
   expiresAt: number
   /** Greatest maximum run time while the commitment lasted. */
   maximumRunMilliseconds: number
