--- a/bench/requestSimulation.ts
+++ b/bench/requestSimulation.ts
@@ -155,7 +155,7 @@
     for (let next = instance.dispatcher.next(this.now); next !== undefined; next = instance.dispatcher.next(this.now)) this.start(instance, next.request, next.executor)
     if (this.options.sharing !== 'grants') return
     const mayAsk = instance.dispatcher.length > 0 && instance.holder.mayAsk(instance.dispatcher.hasUrgentWaiting, this.now)
-    if (mayAsk || instance.holder.hasSlotsToGiveUp) this.report(instance)
+    if (mayAsk || instance.holder.hasSlotsToRelease) this.report(instance)
   }
 
   private start (instance: SimulatedInstance, request: SimulatedRequest, executor: Executor): void {
--- a/src/entry/slotTask.ts
+++ b/src/entry/slotTask.ts
@@ -70,7 +70,7 @@
 
   /** Tells the owner at once when a slot has become free that it wants to grant to another instance. */
   reportFreedSlots (): void {
-    if (this.holder.hasSlotsToGiveUp) this.post({ kind: 'reportNow' })
+    if (this.holder.hasSlotsToRelease) this.post({ kind: 'reportNow' })
   }
 
   /** On a planned stop, once no request waits: gives all grants back and reports that at once. */
--- a/src/requests/slotHolder.ts
+++ b/src/requests/slotHolder.ts
@@ -42,7 +42,7 @@
   }
 
   /** Whether a slot has become free that the owner wants to grant to another holder, so that it should be told at once. */
-  get hasSlotsToGiveUp (): boolean {
+  get hasSlotsToRelease (): boolean {
     return this.owesReport
   }
 
