--- a/bench/requestSimulation.ts
+++ b/bench/requestSimulation.ts
@@ -154,7 +154,7 @@
   private dispatch (instance: SimulatedInstance): void {
     for (let next = instance.dispatcher.next(this.now); next !== undefined; next = instance.dispatcher.next(this.now)) this.start(instance, next.request, next.executor)
     if (this.options.sharing !== 'grants') return
-    const mayAsk = instance.dispatcher.length > 0 && instance.holder.mayAsk(instance.dispatcher.hasUrgentWaiting, this.now)
+    const mayAsk = instance.dispatcher.length > 0 && instance.holder.isDemandReportDue(instance.dispatcher.hasUrgentWaiting, this.now)
     if (mayAsk || instance.holder.hasSlotsToRelease) this.report(instance)
   }
 
--- a/src/entry/slotTask.ts
+++ b/src/entry/slotTask.ts
@@ -65,7 +65,7 @@
 
   /** Asks for slots before the next regular report, because requests wait. */
   requestSlots (): void {
-    if (this.holder.mayAsk(this.urgentWaits(), monotonicNow())) this.post({ kind: 'reportNow' })
+    if (this.holder.isDemandReportDue(this.urgentWaits(), monotonicNow())) this.post({ kind: 'reportNow' })
   }
 
   /** Tells the owner at once when a slot has become free that it wants to grant to another instance. */
--- a/src/requests/slotHolder.ts
+++ b/src/requests/slotHolder.ts
@@ -47,7 +47,7 @@
   }
 
   /** Whether waiting requests are a reason to report now. */
-  mayAsk (urgentWaits: boolean, now: number): boolean {
+  isDemandReportDue (urgentWaits: boolean, now: number): boolean {
     return now - this.lastReportAt >= (urgentWaits ? this.askingPeriod : LESS_URGENT_ASKING_MILLISECONDS)
   }
 
