--- a/src/entry/frontDoor.ts
+++ b/src/entry/frontDoor.ts
@@ -74,7 +74,7 @@
     }))
     this.register(client.onDidChangeConnections(({ address, open }) => {
       for (const executor of this.executors.values()) {
-        if (executor.address === address) this.slots.noteConnections(executor.name, open)
+        if (executor.address === address) this.slots.setOpenConnections(executor.name, open)
       }
     }))
   }
--- a/src/requests/slotHolder.ts
+++ b/src/requests/slotHolder.ts
@@ -155,7 +155,7 @@
   }
 
   /** Notes how many connections to an executor are open, opening or closing. */
-  noteConnections (executor: string, open: number): void {
+  setOpenConnections (executor: string, open: number): void {
     this.entry(executor).open = open
     this.forgetUnused()
   }
--- a/test/requests/slotAllocator.test.ts
+++ b/test/requests/slotAllocator.test.ts
@@ -264,10 +264,10 @@
       const { allocator, instances } = site(2)
       const [first, second] = [instanceAt(instances, 0), instanceAt(instances, 1)]
       settle(allocator, [first], 0)
-      first.holder.noteConnections('x', 55)
+      first.holder.setOpenConnections('x', 55)
       settle(allocator, instances, 1)
       assert.ok(second.holder.connections('x', 1) <= 5)
-      first.holder.noteConnections('x', 0)
+      first.holder.setOpenConnections('x', 0)
       settle(allocator, instances, 2)
       assert.ok(second.holder.connections('x', 2) > 20)
     }
