--- a/src/entry/retentionTask.ts
+++ b/src/entry/retentionTask.ts
@@ -2,7 +2,7 @@
 import { CONFIGURATION_STREAM } from '../contracts/records.js'
 import type { LogAppender } from '../links/logAppender.js'
 import type { LogFollower } from '../links/logFollower.js'
-import { isReappendDue, REAPPEND_SHARE, SUBSTITUTE_SHARE, type Anchor, type Retention } from '../zones/retention.js'
+import { isReappendDue, REAPPEND_SHARE, SUBSTITUTE_SHARE, type RecordPosition, type Retention } from '../zones/retention.js'
 import type { ConfigurationTask } from './configurationTask.js'
 import { monotonicNow, type EntryContext } from './entryContext.js'
 import type { JobTask } from './jobTask.js'
@@ -24,9 +24,9 @@
  * in its place. Ownership needs no re-append, because each renewal restates it.
  */
 export class RetentionTask extends DisposableObject {
-  private readonly jobAnchors = new Map<string, Anchor>()
+  private readonly jobAnchors = new Map<string, RecordPosition>()
   /** The last restated text, or the start of the stream: a publish record alone does not tell a late starter the revision. */
-  private textAnchor: Anchor = { offset: 0, seenAt: monotonicNow() }
+  private textAnchor: RecordPosition = { offset: 0, seenAt: monotonicNow() }
   private keeping = false
   private readonly appender: LogAppender
 
--- a/src/zones/retention.ts
+++ b/src/zones/retention.ts
@@ -11,7 +11,7 @@
 }
 
 /** Where a record that must last was last seen in its stream. */
-export interface Anchor {
+export interface RecordPosition {
   readonly offset: number
   /** Monotonic milliseconds at which this instance read it. */
   readonly seenAt: number
@@ -24,7 +24,7 @@
 const TIME_SHARE = 0.25
 
 /** Whether a record must be re-appended now, so that a late starter still finds it. */
-export function isReappendDue (anchor: Anchor, retention: Retention, share: number, now: number): boolean {
+export function isReappendDue (anchor: RecordPosition, retention: Retention, share: number, now: number): boolean {
   const { position, retainedFrom, records, milliseconds } = retention
   if (position - anchor.offset >= records * share) return true
   if (retainedFrom > 0 && anchor.offset < retainedFrom + (position - retainedFrom) * (1 - share)) return true
