--- a/src/entry/retentionTask.ts
+++ b/src/entry/retentionTask.ts
@@ -2,7 +2,7 @@
 import { CONFIGURATION_STREAM } from '../contracts/records.js'
 import type { LogAppender } from '../links/logAppender.js'
 import type { LogFollower } from '../links/logFollower.js'
-import { isReappendDue, REAPPEND_SHARE, SUBSTITUTE_SHARE, type RecordPosition, type Retention } from '../zones/retention.js'
+import { isReappendDue, REAPPEND_SHARE, FALLBACK_REAPPEND_SHARE, type RecordPosition, type Retention } from '../zones/retention.js'
 import type { ConfigurationTask } from './configurationTask.js'
 import { monotonicNow, type EntryContext } from './entryContext.js'
 import type { JobTask } from './jobTask.js'
@@ -68,7 +68,7 @@
     const restatement = this.configuration.restatement()
     if (restatement === undefined) return
     const domains = Object.keys(this.configuration.inForce?.text.failureDomains ?? {}).sort()
-    const share = domains[0] === this.context.settings.failureDomain ? REAPPEND_SHARE : SUBSTITUTE_SHARE
+    const share = domains[0] === this.context.settings.failureDomain ? REAPPEND_SHARE : FALLBACK_REAPPEND_SHARE
     if (!isReappendDue(anchor, this.retentionOf(this.configurationFollower), share, monotonicNow())) return
     await this.appender.append(restatement, APPEND_TIMEOUT_MILLISECONDS)
   }
--- a/src/zones/retention.ts
+++ b/src/zones/retention.ts
@@ -19,7 +19,7 @@
 
 /** Shares of the retention after which the instance that is responsible, and any other owner in its place, re-appends. */
 export const REAPPEND_SHARE = 0.5
-export const SUBSTITUTE_SHARE = 0.75
+export const FALLBACK_REAPPEND_SHARE = 0.75
 /** Share of the time kept after which a record is re-appended; small, because a starter does not know a record's age. */
 const TIME_SHARE = 0.25
 
