--- a/src/entry/ownershipTask.ts
+++ b/src/entry/ownershipTask.ts
@@ -8,7 +8,7 @@
 import type { LinkTransport } from '../links/linkHub.js'
 import type { PeerIdentity } from '../links/handshake.js'
 import type { Membership } from '../machines/membership.js'
-import { holderKey, Ownership, OWNERSHIP_TIMINGS, type Holder, type OwnershipAction } from '../zones/ownership.js'
+import { holderKey, Ownership, OWNERSHIP_TIMINGS, type InstanceIdentity, type OwnershipAction } from '../zones/ownership.js'
 import { monotonicNow, type EntryContext } from './entryContext.js'
 
 type OwnershipMessage =
@@ -70,7 +70,7 @@
     return this.rules.term
   }
 
-  get owner (): Holder | undefined {
+  get owner (): InstanceIdentity | undefined {
     return this.rules.currentOwner
   }
 
@@ -135,7 +135,7 @@
       this.join()
       return
     }
-    const view = { isGone: (holder: Holder) => this.isGone(holder, now), logCurrentAt: this.logCurrentAt }
+    const view = { isGone: (holder: InstanceIdentity) => this.isGone(holder, now), logCurrentAt: this.logCurrentAt }
     for (const action of this.rules.tick(now, view)) this.perform(action)
   }
 
@@ -197,7 +197,7 @@
     this.links.send(from.instance, { type: 'promise', logicalTime: this.context.events.clock.tick(), failureDomain: message.failureDomain, term: message.term, request: message.request, granted })
   }
 
-  private isGone (holder: Holder, now: number): boolean {
+  private isGone (holder: InstanceIdentity, now: number): boolean {
     if (this.links.peers().some(peer => holderKey(peer) === holderKey(holder))) return false
     return this.membership.ageMilliseconds(now) < LIST_FRESHNESS_MILLISECONDS && this.membership.find(holder.instance) === undefined
   }
--- a/src/zones/ownership.ts
+++ b/src/zones/ownership.ts
@@ -1,7 +1,7 @@
 import type { RecordBody, StoredRecord } from '../contracts/records.js'
 
 /** An entry instance in one of its incarnations. */
-export interface Holder {
+export interface InstanceIdentity {
   readonly instance: string
   readonly incarnation: string
 }
@@ -23,12 +23,12 @@
   | { readonly kind: 'claim', readonly body: RecordBody, readonly identity: string }
   /** The log has to be read before a claim, so that an instance that lags does not depose a live owner. */
   | { readonly kind: 'probeLog' }
-  | { readonly kind: 'requestPromises', readonly electors: readonly Holder[], readonly request: number, readonly durationMilliseconds: number }
+  | { readonly kind: 'requestPromises', readonly electors: readonly InstanceIdentity[], readonly request: number, readonly durationMilliseconds: number }
 
 /** Observations that a tick is handed. */
 export interface OwnershipView {
   /** Whether the platform's instance list, fetched recently enough, no longer shows the holder. */
-  readonly isGone: (holder: Holder) => boolean
+  readonly isGone: (holder: InstanceIdentity) => boolean
   /** When the log was last known to hold no unread record, in monotonic milliseconds. */
   readonly logCurrentAt: number
 }
@@ -42,11 +42,11 @@
 interface SentRenewal {
   readonly number: number
   readonly sentAt: number
-  readonly electors: readonly Holder[]
+  readonly electors: readonly InstanceIdentity[]
 }
 
 interface Member {
-  readonly holder: Holder
+  readonly holder: InstanceIdentity
   readonly joinedAt: number
 }
 
@@ -58,7 +58,7 @@
 const PROBE_FRESHNESS_MILLISECONDS = 500
 
 /** Returns a key that differs between incarnations of an instance. */
-export function holderKey (holder: Holder): string {
+export function holderKey (holder: InstanceIdentity): string {
   return `${holder.instance}/${holder.incarnation}`
 }
 
@@ -70,9 +70,9 @@
  */
 export class Ownership {
   private currentTerm = 0
-  private owner: Holder | undefined
+  private owner: InstanceIdentity | undefined
   private released = true
-  private electors: readonly Holder[] = []
+  private electors: readonly InstanceIdentity[] = []
   /** First retained offset while older records are gone and no record has yet told the state of ownership. */
   private unknownSince: number | undefined
   private readonly joined = new Map<string, Member>()
@@ -92,13 +92,13 @@
   private round: PromiseRound | undefined
   private nextRequest = 1
 
-  constructor (readonly failureDomain: string, readonly self: Holder, private readonly timings: OwnershipTimings = OWNERSHIP_TIMINGS) {}
+  constructor (readonly failureDomain: string, readonly self: InstanceIdentity, private readonly timings: OwnershipTimings = OWNERSHIP_TIMINGS) {}
 
   get term (): number {
     return this.currentTerm
   }
 
-  get currentOwner (): Holder | undefined {
+  get currentOwner (): InstanceIdentity | undefined {
     return this.released || this.unknownSince !== undefined ? undefined : this.owner
   }
 
@@ -113,7 +113,7 @@
   }
 
   /** Entry instances of the failure domain that have joined, by the log. */
-  get members (): readonly Holder[] {
+  get members (): readonly InstanceIdentity[] {
     return [...this.joined.values()].map(member => member.holder)
   }
 
@@ -161,7 +161,7 @@
   }
 
   /** Takes note of an elector's answer. The lease is extended once all electors have promised. */
-  onPromise (elector: Holder, request: number, granted: boolean): void {
+  onPromise (elector: InstanceIdentity, request: number, granted: boolean): void {
     const round = this.round
     if (round === undefined || round.request !== request || !granted || !this.holdsTerm() || this.gaveUp) return
     round.missing.delete(holderKey(elector))
@@ -187,7 +187,7 @@
   }
 
   /** Returns the next renewal, whose lease counts from `now`, or undefined if not owner. */
-  startRenewal (now: number, electors: readonly Holder[]): RecordBody | undefined {
+  startRenewal (now: number, electors: readonly InstanceIdentity[]): RecordBody | undefined {
     if (!this.holdsTerm() || this.gaveUp) return undefined
     const number = this.nextNumber++
     this.lastRenewalSentAt = now
@@ -202,8 +202,8 @@
   }
 
   /** Starts a round of promises and returns whom to ask; an owner without electors extends its lease at once. */
-  startPromiseRound (now: number): { readonly request: number, readonly electors: readonly Holder[] } {
-    const all = new Map<string, Holder>()
+  startPromiseRound (now: number): { readonly request: number, readonly electors: readonly InstanceIdentity[] } {
+    const all = new Map<string, InstanceIdentity>()
     for (const electors of [this.electors, ...this.sentRenewals.map(renewal => renewal.electors)]) {
       for (const elector of electors) all.set(holderKey(elector), elector)
     }
@@ -223,7 +223,7 @@
   }
 
   /** Returns a claim and refuses promises in this term from then on. To be called only if `mayClaim`. */
-  startClaim (now: number, electors: readonly Holder[], view: Pick<OwnershipView, 'isGone'>): RecordBody {
+  startClaim (now: number, electors: readonly InstanceIdentity[], view: Pick<OwnershipView, 'isGone'>): RecordBody {
     this.claimedAfter = this.currentTerm
     return {
       type: 'ownershipClaimed',
@@ -267,7 +267,7 @@
     if (own) this.actingFrom = waitUntil
   }
 
-  private onRenewal (number: number, electors: readonly Holder[], now: number): void {
+  private onRenewal (number: number, electors: readonly InstanceIdentity[], now: number): void {
     this.electors = electors
     this.lastNumber = number
     this.ownerSeenAt = now
@@ -318,7 +318,7 @@
 
   /** A holder is also gone when another incarnation of the same instance has joined: a name is used by one process at a time. */
   private ownerAndElectorsGone (now: number, view: Pick<OwnershipView, 'isGone'>): boolean {
-    return [this.owner as Holder, ...this.electors].every(holder => {
+    return [this.owner as InstanceIdentity, ...this.electors].every(holder => {
       const member = this.joined.get(holder.instance)
       if (member === undefined) return view.isGone(holder)
       return holderKey(member.holder) !== holderKey(holder) || (now - member.joinedAt >= JOIN_GRACE_MILLISECONDS && view.isGone(holder))
@@ -329,7 +329,7 @@
     return this.electors.some(elector => holderKey(elector) === holderKey(this.self))
   }
 
-  private knownElectors (): readonly Holder[] {
+  private knownElectors (): readonly InstanceIdentity[] {
     return this.members.filter(member => member.instance !== this.self.instance)
   }
 
@@ -337,7 +337,7 @@
     return this.isHeldBy(this.self)
   }
 
-  private isHeldBy (holder: Holder): boolean {
+  private isHeldBy (holder: InstanceIdentity): boolean {
     return this.unknownSince === undefined && !this.released && this.owner !== undefined && holderKey(this.owner) === holderKey(holder)
   }
 }
--- a/test/spec/conformance.test.ts
+++ b/test/spec/conformance.test.ts
@@ -3,7 +3,7 @@
 import { initialOwnershipState, LEASE_TICKS, MARGIN_TICKS, OwnershipSpecification, type InstanceState, type OwnershipBounds, type OwnershipEvent, type OwnershipLogRecord, type OwnershipState } from '../../spec/ownershipSpecification.js'
 import { Random } from '../../src/base/random.js'
 import type { RecordBody, StoredRecord } from '../../src/contracts/records.js'
-import { Ownership, type Holder } from '../../src/zones/ownership.js'
+import { Ownership, type InstanceIdentity } from '../../src/zones/ownership.js'
 
 const TICK_MILLISECONDS = 1000
 const TIMINGS = { lease: LEASE_TICKS * TICK_MILLISECONDS, margin: MARGIN_TICKS * TICK_MILLISECONDS }
@@ -11,11 +11,11 @@
 const WALKS = 400
 const STEPS = 60
 
-function holderOf (identity: number): Holder {
+function holderOf (identity: number): InstanceIdentity {
   return { instance: `entry-${identity}`, incarnation: `incarnation-${identity}` }
 }
 
-function holdersOf (set: number): Holder[] {
+function holdersOf (set: number): InstanceIdentity[] {
   return Array.from({ length: 16 }, (_, identity) => identity).filter(identity => (set & (1 << identity)) !== 0).map(holderOf)
 }
 
@@ -113,7 +113,7 @@
     return rules
   }
 
-  private view (state: OwnershipState): { isGone: (holder: Holder) => boolean } {
+  private view (state: OwnershipState): { isGone: (holder: InstanceIdentity) => boolean } {
     return { isGone: holder => !state.instances.some(self => self.up && holderOf(self.identity).incarnation === holder.incarnation) }
   }
 
--- a/test/zones/ownership.test.ts
+++ b/test/zones/ownership.test.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import type { RecordBody, StoredRecord } from '../../src/contracts/records.js'
-import { Ownership, OWNERSHIP_TIMINGS, type Holder, type OwnershipAction, type OwnershipView } from '../../src/zones/ownership.js'
+import { Ownership, OWNERSHIP_TIMINGS, type InstanceIdentity, type OwnershipAction, type OwnershipView } from '../../src/zones/ownership.js'
 
 const TICK_MILLISECONDS = 100
-const A: Holder = { instance: 'a', incarnation: 'a1' }
-const B: Holder = { instance: 'b', incarnation: 'b1' }
-const C: Holder = { instance: 'c', incarnation: 'c1' }
+const A: InstanceIdentity = { instance: 'a', incarnation: 'a1' }
+const B: InstanceIdentity = { instance: 'b', incarnation: 'b1' }
+const C: InstanceIdentity = { instance: 'c', incarnation: 'c1' }
 
 /** A log and instances that read it at once, with one clock. */
 class Site {
@@ -17,7 +17,7 @@
   readonly instances = new Map<string, Ownership>()
   readonly stopped = new Set<string>()
 
-  start (holder: Holder): Ownership {
+  start (holder: InstanceIdentity): Ownership {
     const rules = new Ownership('zone-a', holder)
     for (const record of this.records) rules.onRecord(record, this.now)
     this.instances.set(holder.incarnation, rules)
@@ -30,7 +30,7 @@
     for (const rules of readers) rules.onRecord(record, this.now)
   }
 
-  join (holder: Holder): void {
+  join (holder: InstanceIdentity): void {
     this.append({ type: 'instanceJoined', failureDomain: 'zone-a', ...holder })
   }
 
@@ -67,7 +67,7 @@
   }
 }
 
-function siteOf (...holders: Holder[]): Site {
+function siteOf (...holders: InstanceIdentity[]): Site {
   const site = new Site()
   for (const holder of holders) site.start(holder)
   for (const holder of holders) site.join(holder)
