--- a/src/entry/ownershipTask.ts
+++ b/src/entry/ownershipTask.ts
@@ -8,7 +8,7 @@
 import type { LinkTransport } from '../links/linkHub.js'
 import type { PeerIdentity } from '../links/handshake.js'
 import type { Membership } from '../machines/membership.js'
-import { holderKey, Ownership, OWNERSHIP_TIMINGS, type InstanceIdentity, type OwnershipAction } from '../zones/ownership.js'
+import { instanceKey, Ownership, OWNERSHIP_TIMINGS, type InstanceIdentity, type OwnershipAction } from '../zones/ownership.js'
 import { monotonicNow, type EntryContext } from './entryContext.js'
 
 type OwnershipMessage =
@@ -192,13 +192,13 @@
 
   private onPromiseRequest (from: PeerIdentity, message: LinkMessageOf<'promiseRequest'>, now: number): void {
     const owner = this.rules.currentOwner
-    const fromOwner = owner !== undefined && holderKey(owner) === holderKey(from)
+    const fromOwner = owner !== undefined && instanceKey(owner) === instanceKey(from)
     const granted = fromOwner && message.failureDomain === this.context.settings.failureDomain && this.rules.onPromiseRequest(message.term, message.durationMilliseconds, now)
     this.links.send(from.instance, { type: 'promise', logicalTime: this.context.events.clock.tick(), failureDomain: message.failureDomain, term: message.term, request: message.request, granted })
   }
 
   private isGone (holder: InstanceIdentity, now: number): boolean {
-    if (this.links.peers().some(peer => holderKey(peer) === holderKey(holder))) return false
+    if (this.links.peers().some(peer => instanceKey(peer) === instanceKey(holder))) return false
     return this.membership.ageMilliseconds(now) < LIST_FRESHNESS_MILLISECONDS && this.membership.find(holder.instance) === undefined
   }
 
--- a/src/entry/slotTask.ts
+++ b/src/entry/slotTask.ts
@@ -10,7 +10,7 @@
 import { GRANT_DRIFT_MARGIN_MILLISECONDS, GRANT_VALID_MILLISECONDS, SlotAllocator, type HolderGrants } from '../requests/slotAllocator.js'
 import type { ExecutorLimits } from '../requests/slotCommitments.js'
 import { SlotHolder } from '../requests/slotHolder.js'
-import { holderKey } from '../zones/ownership.js'
+import { instanceKey } from '../zones/ownership.js'
 import type { ConfigurationTask } from './configurationTask.js'
 import { monotonicNow, type EntryContext } from './entryContext.js'
 import type { OwnershipTask } from './ownershipTask.js'
@@ -93,7 +93,7 @@
         if (message.isOwner) this.prepareAllocator()
         return
       case 'report':
-        this.onReport(message.from.instance, holderKey(message.from), message.report)
+        this.onReport(message.from.instance, instanceKey(message.from), message.report)
         return
       case 'grants':
         if (message.from === this.ownership.owner?.instance) this.applyGrants(message.grants)
@@ -130,7 +130,7 @@
       leaving: this.leaving
     }
     if (owner.instance !== this.context.settings.instance) this.links.send(owner.instance, report)
-    else this.onReport(owner.instance, holderKey(owner), report)
+    else this.onReport(owner.instance, instanceKey(owner), report)
   }
 
   private onReport (instance: string, holder: string, report: LinkMessageOf<'slotReport'>): void {
--- a/src/zones/ownership.ts
+++ b/src/zones/ownership.ts
@@ -58,7 +58,7 @@
 const PROBE_FRESHNESS_MILLISECONDS = 500
 
 /** Returns a key that differs between incarnations of an instance. */
-export function holderKey (holder: InstanceIdentity): string {
+export function instanceKey (holder: InstanceIdentity): string {
   return `${holder.instance}/${holder.incarnation}`
 }
 
@@ -164,7 +164,7 @@
   onPromise (elector: InstanceIdentity, request: number, granted: boolean): void {
     const round = this.round
     if (round === undefined || round.request !== request || !granted || !this.holdsTerm() || this.gaveUp) return
-    round.missing.delete(holderKey(elector))
+    round.missing.delete(instanceKey(elector))
     if (round.missing.size > 0) return
     this.round = undefined
     this.leaseUntil = Math.max(this.leaseUntil, round.askedAt + this.timings.lease)
@@ -205,9 +205,9 @@
   startPromiseRound (now: number): { readonly request: number, readonly electors: readonly InstanceIdentity[] } {
     const all = new Map<string, InstanceIdentity>()
     for (const electors of [this.electors, ...this.sentRenewals.map(renewal => renewal.electors)]) {
-      for (const elector of electors) all.set(holderKey(elector), elector)
+      for (const elector of electors) all.set(instanceKey(elector), elector)
     }
-    all.delete(holderKey(this.self))
+    all.delete(instanceKey(this.self))
     const request = this.nextRequest++
     this.round = all.size === 0 ? undefined : { request, askedAt: now, missing: new Set(all.keys()) }
     if (all.size === 0) this.leaseUntil = Math.max(this.leaseUntil, now + this.timings.lease)
@@ -249,7 +249,7 @@
 
   private onClaim (body: Extract<RecordBody, { type: 'ownershipClaimed' }>, now: number): void {
     const own = body.instance === this.self.instance && body.incarnation === this.self.incarnation
-    const entitled = this.released || body.ownerAndElectorsGone || this.electors.some(elector => holderKey(elector) === holderKey(body))
+    const entitled = this.released || body.ownerAndElectorsGone || this.electors.some(elector => instanceKey(elector) === instanceKey(body))
     if (body.afterTerm !== this.currentTerm || !entitled) return
     const waitUntil = this.released ? now : Math.max(this.ownerSeenAt + this.timings.lease + this.timings.driftMargin, this.promisedUntil)
     this.currentTerm += 1
@@ -305,7 +305,7 @@
     while (this.sentRenewals.length > MAXIMUM_SENT_RENEWALS) {
       const [first, second, ...rest] = this.sentRenewals as [SentRenewal, SentRenewal, ...SentRenewal[]]
       if (now < first.sentAt + this.timings.lease) return
-      const electors = new Map([...first.electors, ...second.electors].map(elector => [holderKey(elector), elector]))
+      const electors = new Map([...first.electors, ...second.electors].map(elector => [instanceKey(elector), elector]))
       this.sentRenewals = [{ ...second, electors: [...electors.values()] }, ...rest]
     }
   }
@@ -321,12 +321,12 @@
     return [this.owner as InstanceIdentity, ...this.electors].every(holder => {
       const member = this.joined.get(holder.instance)
       if (member === undefined) return view.isGone(holder)
-      return holderKey(member.holder) !== holderKey(holder) || (now - member.joinedAt >= JOIN_GRACE_MILLISECONDS && view.isGone(holder))
+      return instanceKey(member.holder) !== instanceKey(holder) || (now - member.joinedAt >= JOIN_GRACE_MILLISECONDS && view.isGone(holder))
     })
   }
 
   private isElector (): boolean {
-    return this.electors.some(elector => holderKey(elector) === holderKey(this.self))
+    return this.electors.some(elector => instanceKey(elector) === instanceKey(this.self))
   }
 
   private knownElectors (): readonly InstanceIdentity[] {
@@ -338,6 +338,6 @@
   }
 
   private isHeldBy (holder: InstanceIdentity): boolean {
-    return this.unknownSince === undefined && !this.released && this.owner !== undefined && holderKey(this.owner) === holderKey(holder)
+    return this.unknownSince === undefined && !this.released && this.owner !== undefined && instanceKey(this.owner) === instanceKey(holder)
   }
 }
