--- a/src/zones/ownership.ts
+++ b/src/zones/ownership.ts
@@ -9,12 +9,12 @@
 /** Lengths of time of ownership, in milliseconds. */
 export interface OwnershipTimings {
   readonly lease: number
-  readonly renewal: number
+  readonly renewalInterval: number
   /** Added by whoever waits for another's lease to end: clock drift over one lease and scheduling delay. */
   readonly driftMargin: number
 }
 
-export const OWNERSHIP_TIMINGS: OwnershipTimings = { lease: 4000, renewal: 1000, driftMargin: 500 }
+export const OWNERSHIP_TIMINGS: OwnershipTimings = { lease: 4000, renewalInterval: 1000, driftMargin: 500 }
 
 /** What the ownership rules ask the surrounding task to do. */
 export type OwnershipAction =
@@ -279,13 +279,13 @@
 
   private tickAsOwner (now: number): OwnershipAction[] {
     const actions: OwnershipAction[] = []
-    if (now - this.lastRenewalSentAt >= this.timings.renewal && !this.renewalInFlight) {
+    if (now - this.lastRenewalSentAt >= this.timings.renewalInterval && !this.renewalInFlight) {
       const body = this.startRenewal(now, this.knownElectors()) as RecordBody
       this.renewalInFlight = true
       actions.push({ kind: 'renew', body })
     }
     const remaining = this.leaseUntil - now
-    const roundIsOld = this.round === undefined || now - this.round.askedAt >= this.timings.renewal
+    const roundIsOld = this.round === undefined || now - this.round.askedAt >= this.timings.renewalInterval
     if (remaining >= this.timings.lease / 2 || now < this.actingFrom || !roundIsOld) return actions
     const { request, electors } = this.startPromiseRound(now)
     if (electors.length > 0) actions.push({ kind: 'requestPromises', electors, request, durationMilliseconds: this.timings.lease })
@@ -295,7 +295,7 @@
   private tickAsElector (now: number, view: OwnershipView): OwnershipAction[] {
     if (now < this.claimRetryAt || !this.mayClaim(now, view)) return []
     if (now - view.logCurrentAt > PROBE_FRESHNESS_MILLISECONDS) return [{ kind: 'probeLog' }]
-    this.claimRetryAt = now + this.timings.renewal
+    this.claimRetryAt = now + this.timings.renewalInterval
     const body = this.startClaim(now, this.knownElectors(), view)
     return [{ kind: 'claim', body, identity: `claim:${this.self.incarnation}:${this.currentTerm}` }]
   }
--- a/test/zones/appendBudget.test.ts
+++ b/test/zones/appendBudget.test.ts
@@ -24,7 +24,7 @@
 const roundSeconds = (RETAINED_RECORDS * REAPPEND_SHARE - openJobsOfADomain) / (recordsASecond / FAILURE_DOMAINS)
 
 const LINES: ReadonlyArray<{ readonly kind: string, readonly appendsASecond: number }> = [
-  { kind: 'ownership renewals', appendsASecond: FAILURE_DOMAINS * 1000 / OWNERSHIP_TIMINGS.renewal },
+  { kind: 'ownership renewals', appendsASecond: FAILURE_DOMAINS * 1000 / OWNERSHIP_TIMINGS.renewalInterval },
   { kind: 'joins, claims and releases', appendsASecond: 3 * REPLACEMENTS_A_DAY / DAY_SECONDS },
   { kind: 'jobs, unbatched', appendsASecond: recordsASecond },
   { kind: 'published configurations', appendsASecond: CHANGES_A_DAY / DAY_SECONDS },
