--- a/src/entry/ownershipTask.ts
+++ b/src/entry/ownershipTask.ts
@@ -215,5 +215,5 @@
 
 /** Time from a takeover until tasks that an earlier owner may have started on silent workers have certainly ended, in milliseconds. */
 export function silentWorkerBoundMilliseconds (taskLeaseMilliseconds: number, marginMilliseconds: number): number {
-  return OWNERSHIP_TIMINGS.lease + OWNERSHIP_TIMINGS.driftMargin + taskLeaseMilliseconds + marginMilliseconds
+  return OWNERSHIP_TIMINGS.leaseDuration + OWNERSHIP_TIMINGS.driftMargin + taskLeaseMilliseconds + marginMilliseconds
 }
--- a/src/zones/ownership.ts
+++ b/src/zones/ownership.ts
@@ -8,13 +8,13 @@
 
 /** Lengths of time of ownership, in milliseconds. */
 export interface OwnershipTimings {
-  readonly lease: number
+  readonly leaseDuration: number
   readonly renewalInterval: number
   /** Added by whoever waits for another's lease to end: clock drift over one lease and scheduling delay. */
   readonly driftMargin: number
 }
 
-export const OWNERSHIP_TIMINGS: OwnershipTimings = { lease: 4000, renewalInterval: 1000, driftMargin: 500 }
+export const OWNERSHIP_TIMINGS: OwnershipTimings = { leaseDuration: 4000, renewalInterval: 1000, driftMargin: 500 }
 
 /** What the ownership rules ask the surrounding task to do. */
 export type OwnershipAction =
@@ -167,7 +167,7 @@
     round.missing.delete(instanceKey(elector))
     if (round.missing.size > 0) return
     this.round = undefined
-    this.leaseUntil = Math.max(this.leaseUntil, round.askedAt + this.timings.lease)
+    this.leaseUntil = Math.max(this.leaseUntil, round.askedAt + this.timings.leaseDuration)
   }
 
   /** Returns what is to be done now. To be called several times a renewal period. */
@@ -210,7 +210,7 @@
     all.delete(instanceKey(this.self))
     const request = this.nextRequest++
     this.round = all.size === 0 ? undefined : { request, askedAt: now, missing: new Set(all.keys()) }
-    if (all.size === 0) this.leaseUntil = Math.max(this.leaseUntil, now + this.timings.lease)
+    if (all.size === 0) this.leaseUntil = Math.max(this.leaseUntil, now + this.timings.leaseDuration)
     return { request, electors: [...all.values()] }
   }
 
@@ -218,7 +218,7 @@
   mayClaim (now: number, view: Pick<OwnershipView, 'isGone'>): boolean {
     if (this.holdsTerm() || this.unknownSince !== undefined) return false
     if (this.released) return true
-    if (now < this.promisedUntil || now - this.ownerSeenAt < this.timings.lease + this.timings.driftMargin) return false
+    if (now < this.promisedUntil || now - this.ownerSeenAt < this.timings.leaseDuration + this.timings.driftMargin) return false
     return this.isElector() || this.ownerAndElectorsGone(now, view)
   }
 
@@ -251,7 +251,7 @@
     const own = body.instance === this.self.instance && body.incarnation === this.self.incarnation
     const entitled = this.released || body.ownerAndElectorsGone || this.electors.some(elector => instanceKey(elector) === instanceKey(body))
     if (body.afterTerm !== this.currentTerm || !entitled) return
-    const waitUntil = this.released ? now : Math.max(this.ownerSeenAt + this.timings.lease + this.timings.driftMargin, this.promisedUntil)
+    const waitUntil = this.released ? now : Math.max(this.ownerSeenAt + this.timings.leaseDuration + this.timings.driftMargin, this.promisedUntil)
     this.currentTerm += 1
     this.owner = { instance: body.instance, incarnation: body.incarnation }
     this.released = false
@@ -274,7 +274,7 @@
     if (!this.holdsTerm()) return
     const confirmed = this.sentRenewals.find(renewal => renewal.number === number)
     this.sentRenewals = this.sentRenewals.filter(renewal => renewal.number > number)
-    if (confirmed !== undefined && !this.gaveUp) this.leaseUntil = Math.max(this.leaseUntil, confirmed.sentAt + this.timings.lease)
+    if (confirmed !== undefined && !this.gaveUp) this.leaseUntil = Math.max(this.leaseUntil, confirmed.sentAt + this.timings.leaseDuration)
   }
 
   private tickAsOwner (now: number): OwnershipAction[] {
@@ -286,9 +286,9 @@
     }
     const remaining = this.leaseUntil - now
     const roundIsOld = this.round === undefined || now - this.round.askedAt >= this.timings.renewalInterval
-    if (remaining >= this.timings.lease / 2 || now < this.actingFrom || !roundIsOld) return actions
+    if (remaining >= this.timings.leaseDuration / 2 || now < this.actingFrom || !roundIsOld) return actions
     const { request, electors } = this.startPromiseRound(now)
-    if (electors.length > 0) actions.push({ kind: 'requestPromises', electors, request, durationMilliseconds: this.timings.lease })
+    if (electors.length > 0) actions.push({ kind: 'requestPromises', electors, request, durationMilliseconds: this.timings.leaseDuration })
     return actions
   }
 
@@ -304,7 +304,7 @@
   private foldLapsedRenewals (now: number): void {
     while (this.sentRenewals.length > MAXIMUM_SENT_RENEWALS) {
       const [first, second, ...rest] = this.sentRenewals as [SentRenewal, SentRenewal, ...SentRenewal[]]
-      if (now < first.sentAt + this.timings.lease) return
+      if (now < first.sentAt + this.timings.leaseDuration) return
       const electors = new Map([...first.electors, ...second.electors].map(elector => [instanceKey(elector), elector]))
       this.sentRenewals = [{ ...second, electors: [...electors.values()] }, ...rest]
     }
--- a/test/spec/conformance.test.ts
+++ b/test/spec/conformance.test.ts
@@ -102,7 +102,7 @@
   private readonly rounds: number[] = []
 
   private create (identity: number): Ownership {
-    const rules = new Ownership(DOMAIN, holderOf(identity), { lease: TIMINGS.lease, renewalInterval: TICK_MILLISECONDS, driftMargin: TIMINGS.margin })
+    const rules = new Ownership(DOMAIN, holderOf(identity), { leaseDuration: TIMINGS.lease, renewalInterval: TICK_MILLISECONDS, driftMargin: TIMINGS.margin })
     const at = identity % this.specification.bounds.instances
     const start = rules.startPromiseRound.bind(rules)
     rules.startPromiseRound = now => {
--- a/test/zones/ownership.test.ts
+++ b/test/zones/ownership.test.ts
@@ -85,7 +85,7 @@
     assert.equal(ownerOf(site), 'a1')
     site.stopped.add('a1')
     const since = site.run(20_000, site.instances.get('b1'))
-    assert.ok(since - 3000 <= OWNERSHIP_TIMINGS.lease + OWNERSHIP_TIMINGS.driftMargin + 2 * TICK_MILLISECONDS, `took over at ${since}`)
+    assert.ok(since - 3000 <= OWNERSHIP_TIMINGS.leaseDuration + OWNERSHIP_TIMINGS.driftMargin + 2 * TICK_MILLISECONDS, `took over at ${since}`)
   })
 
   it('an outage of the log of a minute keeps the owner, and renewals go on afterwards', () => {
@@ -155,7 +155,7 @@
     for (let lost = 0; lost < 20; lost += 1) owner.startRenewal(site.now + lost * 1000, [B])
     const last = owner.startRenewal(site.now + 20_000, [B]) as RecordBody
     site.append(last)
-    assert.equal(owner.leaseEnd, site.now + 20_000 + OWNERSHIP_TIMINGS.lease)
+    assert.equal(owner.leaseEnd, site.now + 20_000 + OWNERSHIP_TIMINGS.leaseDuration)
   })
 
   it('a member that was replaced leaves the electors', () => {
