--- a/src/requests/executorChooser.ts
+++ b/src/requests/executorChooser.ts
@@ -5,37 +5,37 @@
 /** An executor with a free slot that a request may be sent to. */
 export interface ExecutorCandidate {
   readonly executor: Executor
-  /** Requests of this instance that run on it. */
+  /** Requests of this instance in flight on it. */
   readonly inFlight: number
   readonly free: number
 }
 
-/** Chooses an executor for a request. */
+/** Load-balancing policy: chooses an executor for a request. */
 export abstract class ExecutorChooser {
   /** Returns one of the candidates, or undefined if there is none. */
   abstract choose (candidates: readonly ExecutorCandidate[], urgency: Urgency): ExecutorCandidate | undefined
 }
 
-/** Mean service times that are added for an executor that fails every request. */
+/** Penalty of an executor that fails every request, in typical service times; scales with the share of failures. */
 const FAILURE_PENALTY = 20
-/** Increase of the expected time by each request that already runs there. */
+/** Relative increase of the expected time by each request in flight. */
 const LOAD_PENALTY = 0.02
 
 /**
- * Chooses by the expected time, from learned service time, load and failures. Urgent and normal work takes the fastest
- * executor; deferrable work takes the slowest, which keeps the fast ones free for urgent work.
+ * Chooses by expected time, computed from the learned service time, load and failures. Urgent and normal requests get the
+ * fastest executor; deferrable requests get the slowest, which keeps the fast executors free for urgent requests.
  */
 export class LeastExpectedTimeChooser extends ExecutorChooser {
   override choose (candidates: readonly ExecutorCandidate[], urgency: Urgency): ExecutorCandidate | undefined {
-    const unknown = typicalServiceMilliseconds(candidates)
+    const typicalTime = typicalServiceMilliseconds(candidates)
     const sign = urgency === 'deferrable' ? -1 : 1
     let best: ExecutorCandidate | undefined
     let bestScore = Infinity
     for (const candidate of candidates) {
       const { executor, inFlight } = candidate
-      const time = (executor.learnedServiceMilliseconds ?? unknown) * (1 + inFlight * LOAD_PENALTY)
-      // A failing executor is the last choice for every class.
-      const score = sign * time + executor.failureShare * FAILURE_PENALTY * unknown
+      const time = (executor.learnedServiceMilliseconds ?? typicalTime) * (1 + inFlight * LOAD_PENALTY)
+      // The penalty is not multiplied by the sign: a failing executor is the last choice for every urgency class.
+      const score = sign * time + executor.failureShare * FAILURE_PENALTY * typicalTime
       if (score >= bestScore) continue
       best = candidate
       bestScore = score
@@ -44,7 +44,7 @@
   }
 }
 
-/** Baseline: the candidates in turn. */
+/** Baseline: round robin over the candidates. */
 export class RoundRobinChooser extends ExecutorChooser {
   private turn = 0
 
@@ -54,7 +54,7 @@
   }
 }
 
-/** Baseline: any candidate. */
+/** Baseline: a random candidate. */
 export class RandomChooser extends ExecutorChooser {
   constructor (private readonly random: Random) {
     super()
@@ -76,7 +76,7 @@
   }
 }
 
-/** Baseline: of two random candidates the one with fewer requests in flight. */
+/** Baseline: the one of two random candidates that has fewer requests in flight. */
 export class PowerOfTwoChoicesChooser extends ExecutorChooser {
   constructor (private readonly random: Random) {
     super()
@@ -90,7 +90,7 @@
   }
 }
 
-/** Assumed service time of an executor that has not answered yet: the mean of the others. */
+/** Returns the mean learned service time, which is assumed for executors that have not completed a request yet. */
 function typicalServiceMilliseconds (candidates: readonly ExecutorCandidate[]): number {
   let sum = 0
   let count = 0
--- a/src/requests/idempotencyKeys.ts
+++ b/src/requests/idempotencyKeys.ts
@@ -1,21 +1,21 @@
 import type { RecordBody } from '../contracts/records.js'
 
-/** What is decided about a request that carries an idempotency key. */
+/** Decision about a request with an idempotency key. */
 export type KeyDecision =
-  /** No request with the key has run; this one may. `unlogged` says that its record is not known to be in the log. */
+  /** No other request with the key has run; this one may run. `unlogged` is set while its record is not known to be in the log. */
   | { readonly kind: 'run', readonly unlogged: boolean }
   | { readonly kind: 'recorded', readonly status: number, readonly contentType?: string | undefined, readonly bodyBase64: string }
-  /** A request with the key has run; its answer was too large to be kept. */
+  /** A request with the key has run, but its response is not kept: it was too large, or was evicted. */
   | { readonly kind: 'alreadyRan' }
   /** A request with the key is running, or its outcome is unknown. */
   | { readonly kind: 'outcomeUnknown' }
-  /** Nothing can be said; the request must not run. */
+  /** No decision can be made now; the request must not run. */
   | { readonly kind: 'unavailable' }
 
-/** Bytes of recorded answers that are kept; of the oldest answers beyond them only the fact that they ran is kept. */
+/** Bytes of recorded responses that are kept. Beyond it the oldest lose their body, and only the fact that they ran remains. */
 const MAXIMUM_RECORDED_BYTES = 32 * 1024 * 1024
 
-/** Records of a failure domain's keys. */
+/** Log records about the idempotency keys of a failure domain. */
 export type KeyRecord = Extract<RecordBody, { type: 'keyStarted' | 'keyEnded' | 'keyNotRun' }>
 
 interface KeyEntry {
@@ -25,13 +25,13 @@
 }
 
 /**
- * Keys of one failure domain as the log orders them: the first `keyStarted` of a key wins until a `keyNotRun` of the
- * same request frees it or the window has passed. Times are milliseconds since 1970.
+ * Idempotency keys of one failure domain, replayed from the log. The first `keyStarted` record of a key wins, until a
+ * `keyNotRun` record of the same request frees the key or the idempotency window has passed. Times are milliseconds since 1970.
  */
 export class IdempotencyKeys {
-  /** In order of their records, so that the oldest come first. */
+  /** In the order of their records, oldest first. */
   private readonly entries = new Map<string, KeyEntry>()
-  /** Requests whose `keyStarted` has been decided on but not read back from the log. */
+  /** Keys whose `keyStarted` record has not been read back from the log yet. */
   private readonly reserved = new Map<string, { readonly request: string, readonly atMilliseconds: number }>()
 
   private recordedBytes = 0
@@ -47,21 +47,21 @@
       case 'keyStarted':
         if (this.reserved.get(record.key)?.request === record.request) this.reserved.delete(record.key)
         if (entry !== undefined && record.atMilliseconds - entry.atMilliseconds < windowMilliseconds) return
-        this.forget(record.key)
+        this.removeEntry(record.key)
         this.entries.set(record.key, { request: record.request, atMilliseconds: record.atMilliseconds, end: undefined })
         return
       case 'keyEnded':
-        if (entry?.request === record.request && entry.end === undefined) this.noteEnd(entry, record)
+        if (entry?.request === record.request && entry.end === undefined) this.recordEnd(entry, record)
         return
       case 'keyNotRun':
-        if (entry?.request === record.request && entry.end === undefined) this.forget(record.key)
+        if (entry?.request === record.request && entry.end === undefined) this.removeEntry(record.key)
         if (this.reserved.get(record.key)?.request === record.request) this.reserved.delete(record.key)
     }
   }
 
-  /** Decides about a request; a request that asks again gets the same answer. `run` must be followed by `reserve`. */
+  /** Decides about a request. Repeated calls for the same request return the same decision. A `run` decision must be followed by `reserve`. */
   decide (key: string, request: string, now: number, windowMilliseconds: number): KeyDecision {
-    this.dropOld(now, windowMilliseconds)
+    this.evictExpired(now, windowMilliseconds)
     const reserved = this.reserved.get(key)
     if (reserved !== undefined && reserved.request !== request) return { kind: 'outcomeUnknown' }
     const entry = this.entries.get(key)
@@ -71,20 +71,20 @@
     return body === undefined ? { kind: 'alreadyRan' } : { kind: 'recorded', status, contentType, bodyBase64: body }
   }
 
-  /** Holds the key for a request until its record has been read back. */
+  /** Reserves the key for a request until its record has been read back. */
   reserve (key: string, request: string, now: number): void {
     this.reserved.set(key, { request, atMilliseconds: now })
   }
 
-  /** Whether the record of this request has been read back and won. */
+  /** Returns whether the `keyStarted` record of this request has been read back and is the first for the key. */
   isHeldBy (key: string, request: string): boolean {
     return this.entries.get(key)?.request === request
   }
 
-  private dropOld (now: number, windowMilliseconds: number): void {
+  private evictExpired (now: number, windowMilliseconds: number): void {
     for (const [key, { atMilliseconds }] of this.entries) {
       if (now - atMilliseconds < windowMilliseconds) break
-      this.forget(key)
+      this.removeEntry(key)
     }
     for (const [key, { atMilliseconds }] of this.reserved) {
       if (now - atMilliseconds < windowMilliseconds) break
@@ -92,7 +92,7 @@
     }
   }
 
-  private noteEnd (entry: KeyEntry, end: Extract<KeyRecord, { type: 'keyEnded' }>): void {
+  private recordEnd (entry: KeyEntry, end: Extract<KeyRecord, { type: 'keyEnded' }>): void {
     entry.end = end
     this.recordedBytes += end.body?.length ?? 0
     for (const other of this.entries.values()) {
@@ -103,13 +103,13 @@
     }
   }
 
-  private forget (key: string): void {
+  private removeEntry (key: string): void {
     this.recordedBytes -= this.entries.get(key)?.end?.body?.length ?? 0
     this.entries.delete(key)
   }
 }
 
-/** The failure domain that decides about a key: the one with the greatest hash, so that a removed domain moves only its own keys. */
+/** Returns the failure domain that decides about a key, by rendezvous hashing, so that removing a domain moves only its own keys. */
 export function homeFailureDomain (key: string, failureDomains: readonly string[], hash: (text: string) => bigint): string | undefined {
   let home: string | undefined
   let greatest = -1n
--- a/src/requests/poolBalancer.ts
+++ b/src/requests/poolBalancer.ts
@@ -1,33 +1,34 @@
 import { divideProportionally } from './proportionalDivision.js'
 import type { ExecutorLimits, HolderState } from './slotCommitments.js'
 
-/** Share of its entitlement that a holder without waiting requests may lack. */
+/** Fraction of its entitlement that a holder without waiting requests may lack before slots are moved to it. */
 const IDLE_HYSTERESIS = 0.25
 
-interface HolderNeed {
+interface HolderShare {
   readonly name: string
   readonly state: HolderState
-  /** Slots of the pool that its demand entitles it to. */
+  /** Slots of the pool that the holder is entitled to by its demand. */
   readonly entitled: number
   granted: number
   inFlight: number
-  /** Requests that wait and that its granted slots do not cover. */
+  /** Demand that its slots do not cover. */
   unmet: number
 }
 
 /**
- * Which holders of a pool should get free slots and which should give some up. Slots stay where they are unless
- * a holder with waiting requests gains, so that shares that vary a little cause no messages and no idle slots.
+ * Balances the slots of one pool among its holders by demand: selects the holders that get free slots, and the slots to be
+ * revoked. Slots are revoked only for holders with waiting requests or far below their entitlement, so that small
+ * variations of demand cause no messages and no idle slots.
  */
 export class PoolBalancer {
-  private readonly needs: HolderNeed[]
+  private readonly shares: HolderShare[]
 
   constructor (private readonly executors: readonly ExecutorLimits[], live: ReadonlyArray<[string, HolderState]>) {
     const pool = executors[0]?.pool ?? ''
     const slots = executors.reduce((sum, executor) => sum + executor.slots, 0)
     const sorted = [...live].sort(([left], [right]) => left < right ? -1 : 1)
     const entitled = divideProportionally(slots, sorted.map(([, state]) => 1 + (state.demand[pool] ?? 0)), 0)
-    this.needs = sorted.map(([name, state], index) => {
+    this.shares = sorted.map(([name, state], index) => {
       let granted = 0
       let inFlight = 0
       for (const executor of executors) {
@@ -38,11 +39,11 @@
     })
   }
 
-  /** Name of the holder that gets the next free slot, counted as given; holders with waiting requests come first. */
+  /** Returns the name of the holder that gets the next free slot and counts the slot as granted. Holders with waiting requests come first. */
   takeRecipient (): string | undefined {
-    let best: HolderNeed | undefined
-    for (const need of this.needs) {
-      if (best === undefined || comesBefore(need, best)) best = need
+    let best: HolderShare | undefined
+    for (const share of this.shares) {
+      if (best === undefined || hasPrecedence(share, best)) best = share
     }
     if (best === undefined) return undefined
     best.granted += 1
@@ -51,42 +52,42 @@
   }
 
   /**
-   * Slots to be taken from their holders for those with waiting requests; `pending` have been taken already.
-   * Idle slots of holders without need come first, then slots of holders above their entitlement.
+   * Returns the slots to revoke for holders that need more, less the `pending` ones, which have been revoked already. The
+   * holder with the greatest surplus over its entitlement gives up a slot first, on the executor where it has the most idle.
    */
   revocations (pending: number): Array<{ holder: string, executor: string }> {
-    let wanted = -pending
-    for (const need of this.needs) wanted += wantedBy(need)
+    let shortfall = -pending
+    for (const share of this.shares) shortfall += shortfallOf(share)
     const revocations: Array<{ holder: string, executor: string }> = []
-    while (revocations.length < wanted) {
+    while (revocations.length < shortfall) {
       const donor = this.takeDonor()
       if (donor === undefined) break
-      const executor = this.executorToGiveUp(donor, revocations)
+      const executor = this.executorToRevokeFrom(donor, revocations)
       if (executor === undefined) break
       revocations.push({ holder: donor.name, executor })
     }
     return revocations
   }
 
-  private takeDonor (): HolderNeed | undefined {
-    let best: HolderNeed | undefined
-    for (const need of this.needs) {
-      if (need.granted - need.entitled < 1) continue
-      if (best === undefined || need.granted - need.entitled > best.granted - best.entitled) best = need
+  private takeDonor (): HolderShare | undefined {
+    let best: HolderShare | undefined
+    for (const share of this.shares) {
+      if (share.granted - share.entitled < 1) continue
+      if (best === undefined || share.granted - share.entitled > best.granted - best.entitled) best = share
     }
     if (best !== undefined) best.granted -= 1
     return best
   }
 
-  /** The executor where the donor has the most idle slots, by its last report. */
-  private executorToGiveUp (donor: HolderNeed, revocations: ReadonlyArray<{ holder: string, executor: string }>): string | undefined {
+  /** Returns the executor on which the donor has the most idle slots according to its last report. */
+  private executorToRevokeFrom (donor: HolderShare, revocations: ReadonlyArray<{ holder: string, executor: string }>): string | undefined {
     let best: string | undefined
     let mostIdle = -Infinity
     for (const { name } of this.executors) {
       const commitment = donor.state.commitments.get(name)
-      const taken = revocations.filter(revocation => revocation.holder === donor.name && revocation.executor === name).length
-      if (commitment === undefined || commitment.granted.slots - taken <= 0) continue
-      const idle = commitment.granted.slots - taken - commitment.inFlight
+      const revoked = revocations.filter(revocation => revocation.holder === donor.name && revocation.executor === name).length
+      if (commitment === undefined || commitment.granted.slots - revoked <= 0) continue
+      const idle = commitment.granted.slots - revoked - commitment.inFlight
       if (idle <= mostIdle) continue
       best = name
       mostIdle = idle
@@ -95,14 +96,14 @@
   }
 }
 
-/** What its waiting requests need; without any, a holder far below its entitlement is raised to it, for requests to come. */
-function wantedBy (need: HolderNeed): number {
-  const missing = Math.max(0, need.entitled - need.granted)
-  if (need.unmet > 0) return Math.min(need.unmet, missing)
-  return missing >= Math.max(2, need.entitled * IDLE_HYSTERESIS) ? missing : 0
+/** Returns how many more slots a holder should get. One without waiting requests gets its entitlement only if it is far below it. */
+function shortfallOf (share: HolderShare): number {
+  const missing = Math.max(0, share.entitled - share.granted)
+  if (share.unmet > 0) return Math.min(share.unmet, missing)
+  return missing >= Math.max(2, share.entitled * IDLE_HYSTERESIS) ? missing : 0
 }
 
-function comesBefore (left: HolderNeed, right: HolderNeed): boolean {
+function hasPrecedence (left: HolderShare, right: HolderShare): boolean {
   const leftWaits = left.unmet > 0
   const rightWaits = right.unmet > 0
   if (leftWaits !== rightWaits) return leftWaits
--- a/src/requests/poolDispatcher.ts
+++ b/src/requests/poolDispatcher.ts
@@ -3,19 +3,19 @@
 import type { ExecutorCandidate, ExecutorChooser } from './executorChooser.js'
 import { DISPATCHES_PER_LESS_URGENT_TURN, WaitingQueue, type WaitingRequest } from './waitingQueue.js'
 
-/** A waiting request with the executors that it has been sent to. */
+/** A waiting request with the names of the executors that it has been sent to. */
 export interface DispatchableRequest extends WaitingRequest {
   readonly tried: ReadonlySet<string>
 }
 
-/** Slots as the dispatcher sees them. */
+/** Provides the slots that this instance may use. */
 export interface SlotSource {
   free (executor: string, now: number): number
   inFlight (executor: string): number
   acquire (executor: string, now: number): boolean
 }
 
-/** Why a request is not queued, and when its caller should come back. */
+/** Reason why a request is rejected, and when its caller should retry. */
 export interface Refusal {
   readonly code: 'queueFull' | 'deadlineUnreachable' | 'noExecutor'
   readonly retryAfterSeconds: number
@@ -23,25 +23,25 @@
 
 export interface Admission<T> {
   readonly refusal: Refusal | undefined
-  /** A less urgent request that gave way; it gets its final answer at once. */
+  /** A less urgent request that was evicted from the full queue and must be answered at once. */
   readonly evicted: T | undefined
 }
 
-/** One of this many slots stays free of deferrable work, so that an urgent request that arrives need not wait. */
+/** One of this many slots is reserved for requests that are not deferrable, so that an arriving urgent request need not wait. */
 const SLOTS_PER_RESERVED_SLOT = 16
 const DEMAND_WEIGHT: Readonly<Record<Urgency, number>> = { urgent: 4, normal: 1, deferrable: 0.25 }
-const LONGEST_RETRY_AFTER_SECONDS = 60
-/** Weight of the newest dispatch in the learned shares of the urgency classes. */
-const SHARE_LEARNING_RATE = 0.02
-/** Longest time that requests wait while this instance holds no slot at all, such as during a change of owner. */
-const LONGEST_WAIT_WITHOUT_SLOTS_MILLISECONDS = 3000
+const MAXIMUM_RETRY_AFTER_SECONDS = 60
+/** Weight of the newest dispatch in the smoothed shares of the urgency classes. */
+const SHARE_SMOOTHING_FACTOR = 0.02
+/** Maximum time that requests wait while this instance holds no slot at all, such as during a change of owner. */
+const MAXIMUM_WAIT_WITHOUT_SLOTS_MILLISECONDS = 3000
 
-/** Decides for one executor pool what is queued, what is refused, and what goes to which executor. Times are monotonic milliseconds. */
+/** Admission control, queueing and dispatch of the requests of one executor pool. Times are monotonic milliseconds. */
 export class PoolDispatcher<T extends DispatchableRequest> {
   private readonly queue: WaitingQueue<T>
   private executors: readonly Executor[] = []
   private readonly classShares = URGENCY_CLASSES.map(() => 0)
-  private lastSlotsAt: number | undefined
+  private slotsLastHeldAt: number | undefined
 
   constructor (private readonly slots: SlotSource, private readonly chooser: ExecutorChooser, capacity: number) {
     this.queue = new WaitingQueue<T>(capacity)
@@ -51,12 +51,12 @@
     return this.queue.length
   }
 
-  /** Whether an urgent request waits. */
+  /** Whether an urgent request is queued. */
   get hasUrgentWaiting (): boolean {
     return this.queue.count('urgent') > 0
   }
 
-  /** Waiting requests weighted by urgency, so that slots move first to instances where urgent ones wait. */
+  /** Length of the queue, weighted by urgency, so that slots move first to instances where urgent requests wait. */
   get weightedQueueLength (): number {
     return Math.ceil(URGENCY_CLASSES.reduce((sum, urgency) => sum + this.queue.count(urgency) * DEMAND_WEIGHT[urgency], 0))
   }
@@ -69,26 +69,26 @@
     this.executors = executors
   }
 
-  /** Queues a request, or refuses one that finds no room or cannot meet its deadline. */
+  /** Queues a request, or rejects it if the queue is full or its deadline cannot be met. */
   admit (request: T, now: number): Admission<T> {
     if (!this.executors.some(executor => !executor.leaving)) return { refusal: { code: 'noExecutor', retryAfterSeconds: 1 }, evicted: undefined }
-    const excess = now + this.expectedAnswerMilliseconds(request.urgency, now) - request.deadline
-    if (excess > 0) return { refusal: { code: 'deadlineUnreachable', retryAfterSeconds: secondsOf(excess) }, evicted: undefined }
+    const excessMilliseconds = now + this.expectedResponseMilliseconds(request.urgency, now) - request.deadline
+    if (excessMilliseconds > 0) return { refusal: { code: 'deadlineUnreachable', retryAfterSeconds: toRetryAfterSeconds(excessMilliseconds) }, evicted: undefined }
     const evicted = this.queue.push(request)
     if (evicted !== request) return { refusal: undefined, evicted }
-    return { refusal: { code: 'queueFull', retryAfterSeconds: secondsOf(this.expectedAnswerMilliseconds(request.urgency, now)) }, evicted: undefined }
+    return { refusal: { code: 'queueFull', retryAfterSeconds: toRetryAfterSeconds(this.expectedResponseMilliseconds(request.urgency, now)) }, evicted: undefined }
   }
 
   remove (request: T): void {
     this.queue.remove(request)
   }
 
-  /** Takes the next request that can be sent, with a slot acquired on its executor. */
+  /** Takes the next request that can be sent from the queue and acquires a slot on its executor. */
   next (now: number): { request: T, executor: Executor } | undefined {
     if (this.queue.length === 0) return undefined
     const candidates = this.candidates(now)
     if (candidates.length === 0) return undefined
-    const request = this.queue.take(this.onlyReserveIsFree(candidates) ? 'normal' : 'deferrable')
+    const request = this.queue.take(this.onlyReservedSlotsAreFree(candidates) ? 'normal' : 'deferrable')
     if (request === undefined) return undefined
     const untried = candidates.filter(candidate => !request.tried.has(candidate.executor.name))
     const chosen = this.chooser.choose(untried.length > 0 ? untried : candidates, request.urgency)
@@ -96,21 +96,21 @@
       this.queue.push(request)
       return undefined
     }
-    this.learnShares(request.urgency)
+    this.updateClassShares(request.urgency)
     return { request, executor: chosen.executor }
   }
 
-  /** Removes and returns the requests that can no longer be answered in time. */
+  /** Removes and returns the requests whose deadline has passed, or all requests if no slot has been held for too long. */
   takeExpired (now: number): T[] {
-    if (this.holdsSlots(now)) this.lastSlotsAt = now
-    else if (this.queue.length === 0) this.lastSlotsAt = undefined
-    else this.lastSlotsAt ??= now
-    if (this.lastSlotsAt !== undefined && now - this.lastSlotsAt >= LONGEST_WAIT_WITHOUT_SLOTS_MILLISECONDS) return this.queue.takeAll()
+    if (this.holdsSlots(now)) this.slotsLastHeldAt = now
+    else if (this.queue.length === 0) this.slotsLastHeldAt = undefined
+    else this.slotsLastHeldAt ??= now
+    if (this.slotsLastHeldAt !== undefined && now - this.slotsLastHeldAt >= MAXIMUM_WAIT_WITHOUT_SLOTS_MILLISECONDS) return this.queue.takeAll()
     return this.queue.takeExpired(now)
   }
 
-  /** Time until a request that arrives now is expected to be answered; its own service time alone while no rate is known. */
-  expectedAnswerMilliseconds (urgency: Urgency, now: number): number {
+  /** Expected time until a request that arrives now is answered; 0 while no service rate is known. */
+  expectedResponseMilliseconds (urgency: Urgency, now: number): number {
     let rate = 0
     let fastest = Infinity
     let idle = false
@@ -140,8 +140,8 @@
     return candidates
   }
 
-  /** Whether the only free slots are those kept for urgent and normal requests to come. */
-  private onlyReserveIsFree (candidates: readonly ExecutorCandidate[]): boolean {
+  /** Returns whether the free slots are no more than those reserved for urgent and normal requests. */
+  private onlyReservedSlotsAreFree (candidates: readonly ExecutorCandidate[]): boolean {
     let held = 0
     for (const executor of this.executors) held += this.slots.inFlight(executor.name)
     const free = candidates.reduce((sum, candidate) => sum + candidate.free, 0)
@@ -152,14 +152,14 @@
     return this.executors.some(executor => !executor.leaving && (this.slots.free(executor.name, now) > 0 || this.slots.inFlight(executor.name) > 0))
   }
 
-  private learnShares (urgency: Urgency): void {
+  private updateClassShares (urgency: Urgency): void {
     const rank = urgencyRank(urgency)
     for (const [index, share] of this.classShares.entries()) {
-      this.classShares[index] = share + SHARE_LEARNING_RATE * ((index === rank ? 1 : 0) - share)
+      this.classShares[index] = share + SHARE_SMOOTHING_FACTOR * ((index === rank ? 1 : 0) - share)
     }
   }
 }
 
-function secondsOf (milliseconds: number): number {
-  return Math.min(LONGEST_RETRY_AFTER_SECONDS, Math.max(1, Math.ceil(milliseconds / 1000)))
+function toRetryAfterSeconds (milliseconds: number): number {
+  return Math.min(MAXIMUM_RETRY_AFTER_SECONDS, Math.max(1, Math.ceil(milliseconds / 1000)))
 }
--- a/src/requests/slotAllocator.ts
+++ b/src/requests/slotAllocator.ts
@@ -2,10 +2,10 @@
 import { PoolBalancer } from './poolBalancer.js'
 import type { ExecutorCapacity, Commitment, ExecutorLimits, HolderState } from './slotCommitments.js'
 
-/** A holder's report as the allocator reads it. */
+/** Report of a holder about its demand and its use of slots. */
 export interface HolderReport {
   readonly sequence: number
-  /** Sequence of the grants that were applied last; -1 if none of this owner. */
+  /** Sequence number of the grants that were applied last; -1 if none of this owner was applied. */
   readonly appliedGrant: number
   /** Waiting and running requests by pool. */
   readonly demand: Readonly<Record<string, number>>
@@ -21,31 +21,31 @@
   readonly grants: SlotGrant[]
 }
 
-/** How long a grant is valid, measured by its holder from before it sent the report that the grant answers. */
+/** Validity of a grant, which its holder counts from the time at which it started the report that the grant answers. */
 export const GRANT_VALID_MILLISECONDS = 10_000
-/** Added by the owner when it waits for a grant to end: 1 % clock drift over a grant, and scheduling delay. */
+/** Margin that the owner adds when it waits for a grant to expire: 1 % clock drift over a grant, and scheduling delay. */
 export const GRANT_DRIFT_MARGIN_MILLISECONDS = 500
-/** A holder that has not reported for this long gets no share of what becomes free. */
-const SILENT_MILLISECONDS = 2000
-/** Unconfirmed grants remembered one by one; older ones are merged into their maximum. */
+/** Time without a report after which a holder gets no share of free slots. */
+const REPORT_TIMEOUT_MILLISECONDS = 2000
+/** Unconfirmed grants that are tracked individually; older ones are merged into their maximum. */
 const MAXIMUM_UNCONFIRMED = 32
 
-const NOTHING: ExecutorCapacity = { slots: 0, connections: 0 }
+const NO_CAPACITY: ExecutorCapacity = { slots: 0, connections: 0 }
 
 /**
- * The owner's division of executor slots and connections among the entry instances of its failure domain.
- * The sum of what holders may be using never exceeds an executor's limits. Times are monotonic milliseconds.
+ * Allocates executor slots and connections to the entry instances of a failure domain, on behalf of its owner. The slots
+ * and connections that all holders together may be using never exceed the limits of an executor. Times are monotonic milliseconds.
  */
 export class SlotAllocator {
   private readonly holders = new Map<string, HolderState>()
-  /** Slots and connections by executor that holders carried over from an earlier owner's grants. */
+  /** Slots and connections by executor that holders carried over from the grants of an earlier owner. */
   private readonly carriedOver = new Map<string, ExecutorCapacity>()
-  /** Holders that have reported; a holder carries over earlier grants only with its first report. */
-  private readonly seen = new Set<string>()
+  /** Holders that have reported to this owner. Only the first report of a holder carries over earlier grants. */
+  private readonly reported = new Set<string>()
   private executors = new Map<string, ExecutorLimits>()
   private sequence = 0
 
-  /** @param earlierGrantsEnd Time from which all grants of an earlier owner have ended; -Infinity if there was none. */
+  /** @param earlierGrantsEnd Time at which all grants of an earlier owner have expired; -Infinity if there was none. */
   constructor (private readonly earlierGrantsEnd: number) {}
 
   setExecutors (executors: readonly ExecutorLimits[]): void {
@@ -53,51 +53,54 @@
   }
 
   /**
-   * Handles a holder's report. Returns the grants that answer it, then new grants of other holders where slots
-   * are to move at once. A report that is not newer than the last one is ignored. `holder` differs between incarnations.
+   * Handles the report of a holder. Returns grants for the holder and for those others whose slots change at once. A
+   * report that is not newer than the last one is ignored. `holder` differs between incarnations of an instance.
    */
   onReport (holder: string, report: HolderReport, now: number): HolderGrants[] {
-    this.dropEnded(now)
+    this.removeExpired(now)
     const known = this.holders.get(holder)
-    if (known !== undefined && report.sequence <= known.lastReport) return []
-    const state = known ?? { commitments: new Map<string, Commitment>(), demand: {}, leaving: false, lastReportAt: now, lastReport: 0 }
+    if (known !== undefined && report.sequence <= known.lastReportSequence) return []
+    const state = known ?? { commitments: new Map<string, Commitment>(), demand: {}, leaving: false, lastReportAt: now, lastReportSequence: 0 }
     this.holders.set(holder, state)
     state.demand = report.demand
     state.leaving = report.leaving
     state.lastReportAt = now
-    state.lastReport = report.sequence
-    this.noteUses(state, report, !this.seen.has(holder), now)
-    this.seen.add(holder)
-    return this.decide(holder, now)
+    state.lastReportSequence = report.sequence
+    this.applyUses(state, report, !this.reported.has(holder), now)
+    this.reported.add(holder)
+    return this.rebalance(holder, now)
   }
 
-  /** Forgets the connections of holders whose process has certainly ended, which closed them. */
+  /** Releases the connections of a holder whose process has certainly ended, which closed them. */
   onProcessEnded (holder: string): void {
     for (const commitment of this.holders.get(holder)?.commitments.values() ?? []) commitment.connections = 0
   }
 
-  /** Holders that have not been forgotten. */
+  /** Keys of the holders that are still tracked. */
   holderKeys (): string[] {
     return [...this.holders.keys()]
   }
 
-  /** Slots of an executor that holders may be using at `now`. */
+  /** Returns how many slots of an executor the holders may be using at `now`. */
   committedSlots (executor: string, now: number): number {
-    this.dropEnded(now)
-    return this.committed(executor).slots
+    this.removeExpired(now)
+    return this.committedCapacity(executor).slots
   }
 
-  private noteUses (state: HolderState, report: HolderReport, isFirst: boolean, now: number): void {
+  private applyUses (state: HolderState, report: HolderReport, isFirst: boolean, now: number): void {
     const uses = new Map(report.uses.map(use => [use.executor, use]))
     for (const executor of new Set([...state.commitments.keys(), ...uses.keys()])) {
       const use = uses.get(executor) ?? { executor, held: 0, inFlight: 0, connections: 0 }
-      const commitment = this.noteUse(state, use, report.appliedGrant, isFirst, now)
-      if (isFirst) this.noteCarriedOver(executor, commitment)
+      const commitment = this.applyUse(state, use, report.appliedGrant, isFirst, now)
+      if (isFirst) this.addCarriedOver(executor, commitment)
     }
   }
 
-  /** A leaving holder has returned everything and applies no grant any more. Another may use what it reports and whatever grant it has not confirmed; confirmed older grants no longer count. */
-  private noteUse (state: HolderState, use: SlotUse, appliedGrant: number, isFirst: boolean, now: number): Commitment {
+  /**
+   * Updates the commitment to a holder from its report. A holder may be using what it reports and every grant that it has
+   * not confirmed; grants older than the confirmed one no longer count. A leaving holder has returned all grants and applies no more.
+   */
+  private applyUse (state: HolderState, use: SlotUse, appliedGrant: number, isFirst: boolean, now: number): Commitment {
     const commitment = state.commitments.get(use.executor) ?? this.emptyCommitment(use.executor, now)
     state.commitments.set(use.executor, commitment)
     commitment.unconfirmed = state.leaving ? [] : commitment.unconfirmed.filter(grant => grant.sequence > appliedGrant)
@@ -112,27 +115,27 @@
   }
 
   private emptyCommitment (executor: string, now: number): Commitment {
-    return { slots: 0, connections: 0, unconfirmed: [], inFlight: 0, granted: NOTHING, expiresAt: now, maximumRunMilliseconds: this.executors.get(executor)?.maximumRunMilliseconds ?? 0 }
+    return { slots: 0, connections: 0, unconfirmed: [], inFlight: 0, granted: NO_CAPACITY, expiresAt: now, maximumRunMilliseconds: this.executors.get(executor)?.maximumRunMilliseconds ?? 0 }
   }
 
-  private noteCarriedOver (executor: string, commitment: Commitment): void {
-    const before = this.carriedOver.get(executor) ?? NOTHING
+  private addCarriedOver (executor: string, commitment: Commitment): void {
+    const before = this.carriedOver.get(executor) ?? NO_CAPACITY
     this.carriedOver.set(executor, { slots: before.slots + commitment.slots, connections: before.connections + commitment.connections })
   }
 
-  /** Answers the reporter; others get new grants only when that moves a slot. */
-  private decide (reporter: string, now: number): HolderGrants[] {
-    const live = [...this.holders].filter(([, state]) => !state.leaving && now - state.lastReportAt < SILENT_MILLISECONDS)
+  /** Divides the slots again. Returns grants for the reporter, and for the other holders whose slots change. */
+  private rebalance (reporter: string, now: number): HolderGrants[] {
+    const live = [...this.holders].filter(([, state]) => !state.leaving && now - state.lastReportAt < REPORT_TIMEOUT_MILLISECONDS)
     const changed = new Set([reporter])
     for (const executors of this.executorsByPool()) {
-      const division = new PoolBalancer(executors, live)
+      const balancer = new PoolBalancer(executors, live)
       for (const executor of executors) {
-        this.lowerToLimit(executor, live, changed)
-        const free = this.usable(executor, now).slots - this.committed(executor.name).slots
-        for (let slot = 0; slot < free; slot += 1) this.raise(executor, division, changed, now)
+        this.revokeAboveLimit(executor, live, changed)
+        const free = this.grantableCapacity(executor, now).slots - this.committedCapacity(executor.name).slots
+        for (let slot = 0; slot < free; slot += 1) this.grantFreeSlot(executor, balancer, changed, now)
       }
-      for (const { holder, executor } of division.revocations(this.pendingSlots(executors, now))) {
-        lower(this.holders.get(holder)?.commitments.get(executor))
+      for (const { holder, executor } of balancer.revocations(this.pendingRevocations(executors, now))) {
+        revokeSlot(this.holders.get(holder)?.commitments.get(executor))
         changed.add(holder)
       }
     }
@@ -146,42 +149,42 @@
     return [...pools.values()]
   }
 
-  /** Gives a free slot to the holder that needs it most. */
-  private raise (executor: ExecutorLimits, division: PoolBalancer, changed: Set<string>, now: number): void {
-    const holder = division.takeRecipient()
+  /** Grants a free slot to the holder that needs it most. */
+  private grantFreeSlot (executor: ExecutorLimits, balancer: PoolBalancer, changed: Set<string>, now: number): void {
+    const holder = balancer.takeRecipient()
     const state = holder === undefined ? undefined : this.holders.get(holder)
     if (holder === undefined || state === undefined) return
     const commitment = state.commitments.get(executor.name) ?? this.emptyCommitment(executor.name, now)
     state.commitments.set(executor.name, commitment)
-    // A slot that was taken away and not yet confirmed is given back without using up a free one.
+    // A slot whose revocation is not confirmed yet is granted again without using up a free one.
     const slots = commitment.granted.slots + 1
     commitment.granted = { ...commitment.granted, slots }
     commitment.slots = Math.max(commitment.slots, slots)
     changed.add(holder)
   }
 
-  /** After the site text lowered a limit, takes slots from the holders with the most. */
-  private lowerToLimit (executor: ExecutorLimits, live: ReadonlyArray<[string, HolderState]>, changed: Set<string>): void {
-    const held = live.flatMap(([name, state]) => {
+  /** Revokes slots from the holders with the most after the site configuration has lowered a limit. */
+  private revokeAboveLimit (executor: ExecutorLimits, live: ReadonlyArray<[string, HolderState]>, changed: Set<string>): void {
+    const commitments = live.flatMap(([name, state]) => {
       const commitment = state.commitments.get(executor.name)
       return commitment === undefined ? [] : [{ name, commitment }]
     })
-    let excess = held.reduce((sum, { commitment }) => sum + commitment.granted.slots, 0) - executor.slots
+    let excess = commitments.reduce((sum, { commitment }) => sum + commitment.granted.slots, 0) - executor.slots
     while (excess > 0) {
-      held.sort((left, right) => right.commitment.granted.slots - left.commitment.granted.slots)
-      const most = held[0]
-      if (most === undefined) return
-      lower(most.commitment)
-      changed.add(most.name)
+      commitments.sort((left, right) => right.commitment.granted.slots - left.commitment.granted.slots)
+      const largest = commitments[0]
+      if (largest === undefined) return
+      revokeSlot(largest.commitment)
+      changed.add(largest.name)
       excess -= 1
     }
   }
 
-  /** Slots of a pool that have been taken from a holder and will become free. */
-  private pendingSlots (executors: readonly ExecutorLimits[], now: number): number {
+  /** Returns how many slots of a pool have been revoked but are still counted for their holder. */
+  private pendingRevocations (executors: readonly ExecutorLimits[], now: number): number {
     let pending = 0
     for (const [, state] of this.holders) {
-      if (now - state.lastReportAt >= SILENT_MILLISECONDS) continue
+      if (now - state.lastReportAt >= REPORT_TIMEOUT_MILLISECONDS) continue
       for (const { name } of executors) {
         const commitment = state.commitments.get(name)
         if (commitment !== undefined) pending += Math.max(0, commitment.slots - commitment.granted.slots)
@@ -197,7 +200,7 @@
       const commitment = state.commitments.get(executor.name) ?? this.emptyCommitment(executor.name, now)
       state.commitments.set(executor.name, commitment)
       const slots = commitment.granted.slots
-      const connections = this.connectionsFor(executor, commitment, holders, now)
+      const connections = this.connectionsToGrant(executor, commitment, holders, now)
       commitment.granted = { slots, connections }
       commitment.connections = Math.max(commitment.connections, connections)
       commitment.unconfirmed.push({ sequence: this.sequence, slots, connections })
@@ -206,24 +209,24 @@
       commitment.maximumRunMilliseconds = Math.max(commitment.maximumRunMilliseconds, executor.maximumRunMilliseconds)
       if (slots > 0 || connections > 0) grants.push({ executor: executor.name, slots, connections })
     }
-    return { holder, sequence: this.sequence, answersReport: state.lastReport, grants }
+    return { holder, sequence: this.sequence, answersReport: state.lastReportSequence, grants }
   }
 
-  /** A connection for each slot, and an equal part of those beyond the slots. */
-  private connectionsFor (executor: ExecutorLimits, own: Commitment, holders: number, now: number): number {
+  /** Returns the connections to grant: one for each slot, and an equal part of those beyond the slots. */
+  private connectionsToGrant (executor: ExecutorLimits, own: Commitment, holders: number, now: number): number {
     const spare = Math.max(0, Math.floor((executor.connections - executor.slots) / Math.max(1, holders)))
-    const available = this.usable(executor, now).connections - this.committed(executor.name).connections
+    const available = this.grantableCapacity(executor, now).connections - this.committedCapacity(executor.name).connections
     return Math.max(0, Math.min(own.granted.slots + spare, own.connections + available))
   }
 
-  /** While requests of an earlier owner's grants may run, only what holders carried over is divided. */
-  private usable (executor: ExecutorLimits, now: number): ExecutorCapacity {
+  /** Returns the capacity that may be granted. While requests under an earlier owner's grants may run, that is only what holders carried over. */
+  private grantableCapacity (executor: ExecutorLimits, now: number): ExecutorCapacity {
     if (now >= this.earlierGrantsEnd + executor.maximumRunMilliseconds) return executor
-    const carriedOver = this.carriedOver.get(executor.name) ?? NOTHING
+    const carriedOver = this.carriedOver.get(executor.name) ?? NO_CAPACITY
     return { slots: Math.min(executor.slots, carriedOver.slots), connections: Math.min(executor.connections, carriedOver.connections) }
   }
 
-  private committed (executor: string): ExecutorCapacity {
+  private committedCapacity (executor: string): ExecutorCapacity {
     let slots = 0
     let connections = 0
     for (const state of this.holders.values()) {
@@ -233,13 +236,13 @@
     return { slots, connections }
   }
 
-  /** A paused process keeps its connections open, so that those outlast its grants until it reports or has ended. */
-  private dropEnded (now: number): void {
+  /** Removes commitments and holders that have expired. Connections outlast the grants until the holder reports or its process has ended, because a paused process keeps them open. */
+  private removeExpired (now: number): void {
     for (const [name, state] of this.holders) {
       for (const [executor, commitment] of state.commitments) {
         if (now >= commitment.expiresAt + commitment.maximumRunMilliseconds) {
           commitment.slots = 0
-          commitment.granted = NOTHING
+          commitment.granted = NO_CAPACITY
         }
         if (commitment.slots === 0 && commitment.connections === 0 && now >= commitment.expiresAt) state.commitments.delete(executor)
       }
@@ -248,7 +251,7 @@
   }
 }
 
-function lower (commitment: Commitment | undefined): void {
+function revokeSlot (commitment: Commitment | undefined): void {
   if (commitment !== undefined) commitment.granted = { ...commitment.granted, slots: Math.max(0, commitment.granted.slots - 1) }
 }
 
--- a/src/requests/slotCommitments.ts
+++ b/src/requests/slotCommitments.ts
@@ -1,4 +1,4 @@
-/** Limits of one executor as the site text states them. */
+/** Limits of one executor, from the site configuration. */
 export interface ExecutorLimits {
   readonly name: string
   readonly pool: string
@@ -14,26 +14,26 @@
   readonly connections: number
 }
 
-/** What a holder may be using of one executor. */
+/** Slots and connections of one executor that a holder may be using. */
 export interface Commitment {
   slots: number
   connections: number
-  /** Grants sent that the holder has not confirmed, oldest first. */
+  /** Grants that were sent but not confirmed by the holder, oldest first. */
   unconfirmed: Array<ExecutorCapacity & { sequence: number }>
-  /** In flight by the last report. */
+  /** Requests in flight according to the last report. */
   inFlight: number
-  /** Last amount decided; never more slots than the holder counts for. */
+  /** Latest grant decided; its slots never exceed `slots`. */
   granted: ExecutorCapacity
   expiresAt: number
-  /** Greatest maximum run time while the commitment lasted. */
+  /** Greatest maximum run time of the executor during the commitment. */
   maximumRunMilliseconds: number
 }
 
-/** What is known of a holder. */
+/** State of a holder, from its reports and the grants to it. */
 export interface HolderState {
   readonly commitments: Map<string, Commitment>
   demand: Readonly<Record<string, number>>
   leaving: boolean
   lastReportAt: number
-  lastReport: number
+  lastReportSequence: number
 }
--- a/src/requests/slotHolder.ts
+++ b/src/requests/slotHolder.ts
@@ -5,10 +5,10 @@
   connections: number
   inFlight: number
   /** Connections that are open, opening or closing. */
-  open: number
+  openConnections: number
 }
 
-/** Grants as they arrive from the owner. */
+/** Grants received from the owner. */
 export interface ReceivedGrants {
   readonly sequence: number
   readonly answersReport: number
@@ -16,112 +16,112 @@
   readonly grants: readonly SlotGrant[]
 }
 
-/** Shortest and longest time between reports that ask for slots for urgent requests; it doubles while they bring none. */
-const SHORTEST_ASKING_MILLISECONDS = 5
-const LONGEST_ASKING_MILLISECONDS = 20
-/** Time between reports that ask for slots for other requests. */
-const LESS_URGENT_ASKING_MILLISECONDS = 100
-/** Reports whose time is remembered, so that a late grant can be dated. */
-const REMEMBERED_REPORTS = 1000
+/** Bounds on the interval of reports that request slots for urgent requests. The interval doubles while reports gain no slots. */
+const MINIMUM_URGENT_REPORT_INTERVAL_MILLISECONDS = 5
+const MAXIMUM_URGENT_REPORT_INTERVAL_MILLISECONDS = 20
+/** Interval of reports that request slots for less urgent requests. */
+const LESS_URGENT_REPORT_INTERVAL_MILLISECONDS = 100
+/** Number of reports whose start time is kept, from which the validity of a late grant is counted. */
+const MAXIMUM_REPORT_TIMES = 1000
 
 /** Slots and connections that this entry instance holds on the executors of its failure domain. Times are monotonic milliseconds. */
 export class SlotHolder {
   private readonly held = new Map<string, HeldSlots>()
   private readonly reportTimes = new Map<number, number>()
   private reportSequence = 0
-  private appliedGrant = -1
+  private lastAppliedSequence = -1
   private validUntil = -Infinity
-  private returned = false
-  private owesReport = false
+  private hasReturnedAll = false
+  private releaseReportDue = false
   private lastReportAt = -Infinity
-  private askingPeriod = SHORTEST_ASKING_MILLISECONDS
+  private urgentReportInterval = MINIMUM_URGENT_REPORT_INTERVAL_MILLISECONDS
 
-  /** Grant sequence that was applied last. */
+  /** Sequence number of the grants that were applied last. */
   get appliedSequence (): number {
-    return this.appliedGrant
+    return this.lastAppliedSequence
   }
 
-  /** Whether a slot has become free that the owner wants to grant to another holder, so that it should be told at once. */
+  /** Whether a slot that the owner has revoked has become free, which should be reported at once because the owner grants it to another holder. */
   get hasSlotsToRelease (): boolean {
-    return this.owesReport
+    return this.releaseReportDue
   }
 
-  /** Whether waiting requests are a reason to report now. */
-  isDemandReportDue (urgentWaits: boolean, now: number): boolean {
-    return now - this.lastReportAt >= (urgentWaits ? this.askingPeriod : LESS_URGENT_ASKING_MILLISECONDS)
+  /** Returns whether the demand of waiting requests should be reported before the next regular report. */
+  isDemandReportDue (hasUrgentWaiting: boolean, now: number): boolean {
+    return now - this.lastReportAt >= (hasUrgentWaiting ? this.urgentReportInterval : LESS_URGENT_REPORT_INTERVAL_MILLISECONDS)
   }
 
-  /** Notes that a report is about to be sent and returns its sequence and content. */
+  /** Starts a report and returns its sequence number and content. */
   startReport (now: number): { sequence: number, uses: SlotUse[] } {
     this.reportSequence += 1
-    this.owesReport = false
+    this.releaseReportDue = false
     this.lastReportAt = now
     this.reportTimes.set(this.reportSequence, now)
-    this.reportTimes.delete(this.reportSequence - REMEMBERED_REPORTS)
+    this.reportTimes.delete(this.reportSequence - MAXIMUM_REPORT_TIMES)
     const expired = now >= this.validUntil
     const uses = [...this.held].map(([executor, slots]) => ({
       executor,
       held: expired ? 0 : slots.granted,
       inFlight: slots.inFlight,
-      connections: Math.max(slots.open, expired ? 0 : slots.connections)
+      connections: Math.max(slots.openConnections, expired ? 0 : slots.connections)
     }))
     return { sequence: this.reportSequence, uses }
   }
 
-  /** Applies grants; returns false for those that answer an unknown report or are not newer than the applied ones, and after `returnAll`. */
+  /** Applies grants. Returns false if they answer an unknown report, are not newer than the applied ones, or arrive after `returnAll`. */
   applyGrants (message: ReceivedGrants): boolean {
     const reportedAt = this.reportTimes.get(message.answersReport)
-    if (reportedAt === undefined || message.sequence <= this.appliedGrant || this.returned) return false
-    this.appliedGrant = message.sequence
+    if (reportedAt === undefined || message.sequence <= this.lastAppliedSequence || this.hasReturnedAll) return false
+    this.lastAppliedSequence = message.sequence
     this.validUntil = reportedAt + message.validMilliseconds
-    const before = new Map([...this.held].map(([executor, slots]) => [executor, slots.granted]))
+    const previous = new Map([...this.held].map(([executor, slots]) => [executor, slots.granted]))
     for (const slots of this.held.values()) {
       slots.granted = 0
       slots.connections = 0
     }
     for (const grant of message.grants) {
-      const slots = this.entry(grant.executor)
+      const slots = this.getOrCreate(grant.executor)
       slots.granted = grant.slots
       slots.connections = grant.connections
     }
-    const gained = [...this.held].some(([executor, slots]) => slots.granted > (before.get(executor) ?? 0))
-    this.askingPeriod = gained ? SHORTEST_ASKING_MILLISECONDS : Math.min(LONGEST_ASKING_MILLISECONDS, this.askingPeriod * 2)
+    const gained = [...this.held].some(([executor, slots]) => slots.granted > (previous.get(executor) ?? 0))
+    this.urgentReportInterval = gained ? MINIMUM_URGENT_REPORT_INTERVAL_MILLISECONDS : Math.min(MAXIMUM_URGENT_REPORT_INTERVAL_MILLISECONDS, this.urgentReportInterval * 2)
     for (const [executor, slots] of this.held) {
-      if (slots.granted < (before.get(executor) ?? 0) && slots.inFlight < (before.get(executor) ?? 0)) this.owesReport = true
+      if (slots.granted < (previous.get(executor) ?? 0) && slots.inFlight < (previous.get(executor) ?? 0)) this.releaseReportDue = true
     }
-    this.forgetUnused()
+    this.removeUnused()
     return true
   }
 
-  /** Forgets the sequence of an earlier owner's grants, which remain valid until their end. */
+  /** Resets the sequence numbers for a new owner. Grants of the earlier owner remain valid until they expire. */
   onOwnerChanged (): void {
     this.reportTimes.clear()
-    this.appliedGrant = -1
+    this.lastAppliedSequence = -1
   }
 
-  /** Gives every grant back for good, on a planned stop. What is in flight keeps counting until it has ended. */
+  /** Returns all grants for good, on a planned stop. Requests in flight are still reported until they have ended. */
   returnAll (): void {
-    this.returned = true
+    this.hasReturnedAll = true
     for (const slots of this.held.values()) {
       slots.granted = 0
       slots.connections = 0
     }
-    this.forgetUnused()
+    this.removeUnused()
   }
 
-  /** Free slots on an executor; 0 once the grants have ended. */
+  /** Returns the number of free slots on an executor; 0 once the grants have expired. */
   free (executor: string, now: number): number {
     if (now >= this.validUntil) return 0
     const slots = this.held.get(executor)
     return slots === undefined ? 0 : Math.max(0, slots.granted - slots.inFlight)
   }
 
-  /** Whether a slot of any executor is held. */
+  /** Returns whether a slot of any executor is held. */
   holdsSlots (now: number): boolean {
     return now < this.validUntil && [...this.held.values()].some(slots => slots.granted > 0)
   }
 
-  /** Connections that may be open to an executor; 0 once the grants have ended. */
+  /** Returns how many connections to an executor may be open; 0 once the grants have expired. */
   connections (executor: string, now: number): number {
     return now >= this.validUntil ? 0 : this.held.get(executor)?.connections ?? 0
   }
@@ -130,45 +130,46 @@
     return this.held.get(executor)?.inFlight ?? 0
   }
 
-  /** Takes a slot; returns false if none is held any more. */
+  /** Acquires a slot; returns false if none is free. */
   acquire (executor: string, now: number): boolean {
     if (this.free(executor, now) === 0) return false
-    this.entry(executor).inFlight += 1
+    this.getOrCreate(executor).inFlight += 1
     return true
   }
 
   /**
-   * Whether a request that has acquired a slot may start. To be asked right before bytes go out, since the grants may
-   * end while a connection is opened. A grant that was only lowered meanwhile is no obstacle: reports count the slot.
+   * Returns whether a request that has acquired a slot may be sent. Must be checked right before the first byte is written,
+   * because the grants may expire while a connection is opened. A grant that was only lowered meanwhile does not prevent
+   * the request: reports count its slot as in flight.
    */
   mayStart (now: number): boolean {
     return now < this.validUntil
   }
 
-  /** Gives a slot back once the request is known to have ended. */
+  /** Releases a slot once its request is known to have ended. */
   release (executor: string): void {
     const slots = this.held.get(executor)
     if (slots === undefined || slots.inFlight === 0) return
-    if (slots.inFlight > slots.granted) this.owesReport = true
+    if (slots.inFlight > slots.granted) this.releaseReportDue = true
     slots.inFlight -= 1
-    this.forgetUnused()
+    this.removeUnused()
   }
 
-  /** Notes how many connections to an executor are open, opening or closing. */
+  /** Sets the number of connections to an executor that are open, opening or closing. */
   setOpenConnections (executor: string, open: number): void {
-    this.entry(executor).open = open
-    this.forgetUnused()
+    this.getOrCreate(executor).openConnections = open
+    this.removeUnused()
   }
 
-  private entry (executor: string): HeldSlots {
-    const slots = this.held.get(executor) ?? { granted: 0, connections: 0, inFlight: 0, open: 0 }
+  private getOrCreate (executor: string): HeldSlots {
+    const slots = this.held.get(executor) ?? { granted: 0, connections: 0, inFlight: 0, openConnections: 0 }
     this.held.set(executor, slots)
     return slots
   }
 
-  private forgetUnused (): void {
+  private removeUnused (): void {
     for (const [executor, slots] of this.held) {
-      if (slots.granted === 0 && slots.connections === 0 && slots.inFlight === 0 && slots.open === 0) this.held.delete(executor)
+      if (slots.granted === 0 && slots.connections === 0 && slots.inFlight === 0 && slots.openConnections === 0) this.held.delete(executor)
     }
   }
 }
--- a/src/requests/waitingQueue.ts
+++ b/src/requests/waitingQueue.ts
@@ -8,14 +8,14 @@
   readonly deadline: number
 }
 
-/** One of this many dispatches starts with each less urgent class, so that none is starved. */
+/** One of this many dispatches prefers each of the less urgent classes, so that none is starved. */
 export const DISPATCHES_PER_LESS_URGENT_TURN = 32
-/** Removed requests stay in the heaps until they outnumber the waiting ones by this factor. */
+/** The heaps are rebuilt without removed requests once they hold this many times the number of waiting requests. */
 const COMPACTION_FACTOR = 2
-const COMPACTION_MINIMUM = 64
+const MINIMUM_COMPACTION_LENGTH = 64
 
-/** Requests of one urgency class, by earliest and by latest deadline. Removed requests are skipped when they come up. */
-class UrgencyClass<T extends WaitingRequest> {
+/** Requests of one urgency class, in one heap by earliest and one by latest deadline. Removed requests are skipped when they reach the top. */
+class UrgencyClassQueue<T extends WaitingRequest> {
   readonly members = new Set<T>()
   private earliest = new FlatQueue<T>()
   private latest = new FlatQueue<T>()
@@ -34,7 +34,7 @@
     return this.takeFrom(this.latest)
   }
 
-  /** Deadline of the earliest request; Infinity if none waits. */
+  /** Returns the earliest deadline; Infinity if no request waits. */
   earliestDeadline (): number {
     while (this.earliest.length > 0 && !this.members.has(this.earliest.peek() as T)) this.earliest.pop()
     return this.earliest.peekValue() ?? Infinity
@@ -56,7 +56,7 @@
 
   private compact (): void {
     const longest = Math.max(this.earliest.length, this.latest.length)
-    if (longest < COMPACTION_MINIMUM || longest < this.members.size * COMPACTION_FACTOR) return
+    if (longest < MINIMUM_COMPACTION_LENGTH || longest < this.members.size * COMPACTION_FACTOR) return
     const members = [...this.members]
     this.earliest = new FlatQueue<T>()
     this.latest = new FlatQueue<T>()
@@ -65,9 +65,9 @@
   }
 }
 
-/** Bounded queue ordered by urgency class, then deadline. Every operation takes logarithmic time on average. */
+/** Bounded priority queue, ordered by urgency class, then by deadline. Operations take amortized logarithmic time. */
 export class WaitingQueue<T extends WaitingRequest> {
-  private readonly classes = URGENCY_CLASSES.map(() => new UrgencyClass<T>())
+  private readonly classes = URGENCY_CLASSES.map(() => new UrgencyClassQueue<T>())
   private dispatches = 0
 
   constructor (private capacity: number) {}
@@ -80,19 +80,19 @@
     this.capacity = capacity
   }
 
-  /** Number of waiting requests of one class. */
+  /** Returns the number of waiting requests of one class. */
   count (urgency: Urgency): number {
     return this.classes[urgencyRank(urgency)]?.members.size ?? 0
   }
 
-  /** Number of waiting requests at least as urgent as `urgency`. */
+  /** Returns the number of waiting requests that are at least as urgent as `urgency`. */
   countAhead (urgency: Urgency): number {
     return this.classes.slice(0, urgencyRank(urgency) + 1).reduce((sum, queue) => sum + queue.members.size, 0)
   }
 
   /**
-   * Adds a request. When the queue is full, the least urgent request with the latest deadline gives way
-   * if it is less urgent than the new one; it is returned as evicted. Returns the request itself when it is refused.
+   * Adds a request. If the queue is full, evicts and returns the least urgent request with the latest deadline, if that is
+   * less urgent than the new one. Otherwise returns the new request itself, which is not added.
    */
   push (request: T): T | undefined {
     const rank = urgencyRank(request.urgency)
@@ -100,8 +100,8 @@
       this.classes[rank]?.push(request)
       return undefined
     }
-    for (let lower = this.classes.length - 1; lower > rank; lower -= 1) {
-      const evicted = this.classes[lower]?.takeLatest()
+    for (let index = this.classes.length - 1; index > rank; index -= 1) {
+      const evicted = this.classes[index]?.takeLatest()
       if (evicted === undefined) continue
       this.classes[rank]?.push(request)
       return evicted
@@ -109,20 +109,20 @@
     return request
   }
 
-  /** Removes a request, such as one whose caller has gone. */
+  /** Removes a request, such as one whose caller has disconnected. */
   remove (request: T): void {
     this.classes[urgencyRank(request.urgency)]?.remove(request)
   }
 
   /**
-   * Takes the next request to dispatch, of the classes at least as urgent as `leastUrgent`. A less urgent class
-   * whose turn has come is taken all the same.
+   * Takes the next request to dispatch from the classes that are at least as urgent as `leastUrgent`. A less urgent class
+   * whose turn it is comes first, even below that limit.
    */
   take (leastUrgent: Urgency = 'deferrable'): T | undefined {
     if (this.length === 0) return undefined
     this.dispatches += 1
-    const favoured = this.favoured()?.takeEarliest()
-    if (favoured !== undefined) return favoured
+    const preferred = this.classWithTurn()?.takeEarliest()
+    if (preferred !== undefined) return preferred
     for (const queue of this.classes.slice(0, urgencyRank(leastUrgent) + 1)) {
       const request = queue.takeEarliest()
       if (request !== undefined) return request
@@ -145,8 +145,8 @@
     return this.takeExpired(Infinity)
   }
 
-  /** The less urgent class whose turn it is. */
-  private favoured (): UrgencyClass<T> | undefined {
+  /** Returns the less urgent class whose turn it is, if any. */
+  private classWithTurn (): UrgencyClassQueue<T> | undefined {
     const turn = this.dispatches % DISPATCHES_PER_LESS_URGENT_TURN
     if (turn === 0) return this.classes[urgencyRank('deferrable')]
     return turn === DISPATCHES_PER_LESS_URGENT_TURN / 2 ? this.classes[urgencyRank('normal')] : undefined
