--- a/src/zones/ownership.ts
+++ b/src/zones/ownership.ts
@@ -1,41 +1,41 @@
 import type { RecordBody, StoredRecord } from '../contracts/records.js'
 
-/** An entry instance in one of its incarnations. */
+/** Identifies one incarnation of an entry instance. */
 export interface InstanceIdentity {
   readonly instance: string
   readonly incarnation: string
 }
 
-/** Lengths of time of ownership, in milliseconds. */
+/** Durations of the ownership protocol, in milliseconds. */
 export interface OwnershipTimings {
   readonly leaseDuration: number
   readonly renewalInterval: number
-  /** Added by whoever waits for another's lease to end: clock drift over one lease and scheduling delay. */
+  /** Margin added when waiting for the lease of another instance to expire: clock drift over one lease and scheduling delay. */
   readonly driftMargin: number
 }
 
 export const OWNERSHIP_TIMINGS: OwnershipTimings = { leaseDuration: 4000, renewalInterval: 1000, driftMargin: 500 }
 
-/** What the ownership rules ask the surrounding task to do. */
+/** Action that the ownership rules require of the surrounding task. */
 export type OwnershipAction =
   | { readonly kind: 'renew', readonly body: RecordBody }
-  /** A repeated claim has the same identity, so that it counts once. */
+  /** A repeated claim has the same identity, so that it is applied once. */
   | { readonly kind: 'claim', readonly body: RecordBody, readonly identity: string }
-  /** The log has to be read before a claim, so that an instance that lags does not depose a live owner. */
+  /** The log must be read to its end before a claim, so that a lagging instance does not supersede a live owner. */
   | { readonly kind: 'probeLog' }
   | { readonly kind: 'requestPromises', readonly electors: readonly InstanceIdentity[], readonly request: number, readonly durationMilliseconds: number }
 
-/** Observations that a tick is handed. */
+/** Observations that are passed to a tick. */
 export interface OwnershipView {
-  /** Whether the platform's instance list, fetched recently enough, no longer shows the holder. */
-  readonly isGone: (holder: InstanceIdentity) => boolean
-  /** When the log was last known to hold no unread record, in monotonic milliseconds. */
+  /** Returns whether a sufficiently recent instance list of the platform no longer contains the instance. */
+  readonly isGone: (instance: InstanceIdentity) => boolean
+  /** Time at which the log was last known to contain no unread record, in monotonic milliseconds. */
   readonly logCurrentAt: number
 }
 
 interface PromiseRound {
   readonly request: number
-  readonly askedAt: number
+  readonly startedAt: number
   readonly missing: Set<string>
 }
 
@@ -46,51 +46,50 @@
 }
 
 interface Member {
-  readonly holder: InstanceIdentity
+  readonly identity: InstanceIdentity
   readonly joinedAt: number
 }
 
-/** Bound on the lag of the instance list: for this time after joining, a member that the list does not show may be live. */
+/** Bound on the lag of the instance list: for this time after joining, a member that is not in the list may be live. */
 const JOIN_GRACE_MILLISECONDS = 10_000
-/** Unconfirmed renewals that are kept apart. */
+/** Unconfirmed renewals that are tracked individually. */
 const MAXIMUM_SENT_RENEWALS = 8
-/** Greatest age of the last complete read of the log at a claim. */
-const PROBE_FRESHNESS_MILLISECONDS = 500
+/** Maximum age of the last complete read of the log at a claim. */
+const MAXIMUM_PROBE_AGE_MILLISECONDS = 500
 
 /** Returns a key that differs between incarnations of an instance. */
-export function instanceKey (holder: InstanceIdentity): string {
-  return `${holder.instance}/${holder.incarnation}`
+export function instanceKey (identity: InstanceIdentity): string {
+  return `${identity.instance}/${identity.incarnation}`
 }
 
 /**
- * Ownership of one failure domain as one of its entry instances sees it.
- * Claims are decided by the order of the log; the lease is measured on the own monotonic clock.
- * All times passed in are monotonic milliseconds of this instance. The methods that start something enforce what the
- * specification in spec/ownershipSpecification.ts requires; `tick` decides when to use them.
+ * Ownership of one failure domain, as observed by one of its entry instances. Claims are decided by their order in the log;
+ * the lease is measured on the monotonic clock of this instance, and all times passed in are its monotonic milliseconds.
+ * The `start` methods enforce what the specification in spec/ownershipSpecification.ts requires; `tick` decides when to call them.
  */
 export class Ownership {
   private currentTerm = 0
   private owner: InstanceIdentity | undefined
   private released = true
   private electors: readonly InstanceIdentity[] = []
-  /** First retained offset while older records are gone and no record has yet told the state of ownership. */
-  private unknownSince: number | undefined
+  /** First retained offset while older records were truncated unread and no record has restated the ownership yet; otherwise undefined. */
+  private stateUnknownFrom: number | undefined
   private readonly joined = new Map<string, Member>()
-  private ownerSeenAt = -Infinity
+  private ownerLastSeenAt = -Infinity
   private leaseUntil = -Infinity
-  private actingFrom = Infinity
+  private ownerFrom = Infinity
   private promisedUntil = -Infinity
-  /** Term after which this instance has sent a claim. No promise is given in that term any more, because the claim may be in the log. */
-  private claimedAfter = -1
+  /** Term in which this instance has sent a claim. It grants no more promises in that term, because the claim may be in the log. */
+  private lastClaimedTerm = -1
   private claimRetryAt = -Infinity
-  private gaveUp = false
-  private lastNumber = 0
-  private nextNumber = 1
+  private resigned = false
+  private lastRenewalNumber = 0
+  private nextRenewalNumber = 1
   private lastRenewalSentAt = -Infinity
   private renewalInFlight = false
   private sentRenewals: SentRenewal[] = []
   private round: PromiseRound | undefined
-  private nextRequest = 1
+  private nextRequestNumber = 1
 
   constructor (readonly failureDomain: string, readonly self: InstanceIdentity, private readonly timings: OwnershipTimings = OWNERSHIP_TIMINGS) {}
 
@@ -99,88 +98,88 @@
   }
 
   get currentOwner (): InstanceIdentity | undefined {
-    return this.released || this.unknownSince !== undefined ? undefined : this.owner
+    return this.released || this.stateUnknownFrom !== undefined ? undefined : this.owner
   }
 
-  /** Whether this instance may act as owner now. To be asked right before each act. */
+  /** Returns whether this instance may act as owner now. Must be checked right before each such action. */
   isOwner (now: number): boolean {
-    return this.holdsTerm() && !this.gaveUp && now >= this.actingFrom && now < this.leaseUntil
+    return this.holdsTerm() && !this.resigned && now >= this.ownerFrom && now < this.leaseUntil
   }
 
-  /** End of the own lease in monotonic milliseconds; -Infinity if there is none. */
+  /** End of the lease of this instance in monotonic milliseconds; -Infinity if it has none. */
   get leaseEnd (): number {
-    return this.holdsTerm() && !this.gaveUp ? this.leaseUntil : -Infinity
+    return this.holdsTerm() && !this.resigned ? this.leaseUntil : -Infinity
   }
 
-  /** Entry instances of the failure domain that have joined, by the log. */
+  /** Entry instances of the failure domain that have joined, according to the log. */
   get members (): readonly InstanceIdentity[] {
-    return [...this.joined.values()].map(member => member.holder)
+    return [...this.joined.values()].map(member => member.identity)
   }
 
-  /** Notes that records before `retainedFrom` are gone unread. Until a renewal or release tells the state, this instance neither acts nor claims. */
+  /** Marks records before `retainedFrom` as truncated unread. Until a renewal or release restates the ownership, this instance neither acts as owner nor claims. */
   markTruncated (retainedFrom: number): void {
-    this.unknownSince = retainedFrom
+    this.stateUnknownFrom = retainedFrom
   }
 
   /**
-   * Notes that the stream has been read to its end. If it tells nothing, nobody has renewed a lease within the retention
-   * period; terms then go on from the offset, which no earlier term exceeds.
+   * Marks the stream as read to its end. If it contains no record of ownership, no lease was renewed within the retention
+   * period; terms then continue from the first retained offset, which no earlier term exceeds.
    */
-  markCaughtUp (tellsOwnership: boolean): void {
-    if (this.unknownSince === undefined || tellsOwnership) return
-    this.currentTerm = this.unknownSince
+  markCaughtUp (hasOwnershipRecord: boolean): void {
+    if (this.stateUnknownFrom === undefined || hasOwnershipRecord) return
+    this.currentTerm = this.stateUnknownFrom
     this.released = true
-    this.unknownSince = undefined
+    this.stateUnknownFrom = undefined
   }
 
-  /** Takes note of a record in log order. */
+  /** Applies a record. Must be called in log order. */
   onRecord (record: StoredRecord, now: number): void {
     const { body } = record
-    if (this.unknownSince !== undefined && (body.type === 'ownershipRenewed' || body.type === 'ownershipReleased')) this.adopt(body)
-    else if (this.unknownSince !== undefined && body.type === 'ownershipClaimed') return
+    if (this.stateUnknownFrom !== undefined && (body.type === 'ownershipRenewed' || body.type === 'ownershipReleased')) this.restoreFrom(body)
+    else if (this.stateUnknownFrom !== undefined && body.type === 'ownershipClaimed') return
     switch (body.type) {
       case 'instanceJoined':
-        this.joined.set(body.instance, { holder: { instance: body.instance, incarnation: body.incarnation }, joinedAt: now })
+        this.joined.set(body.instance, { identity: { instance: body.instance, incarnation: body.incarnation }, joinedAt: now })
         return
       case 'ownershipClaimed':
         this.onClaim(body, now)
         return
       case 'ownershipRenewed':
-        if (body.term === this.currentTerm && body.number > this.lastNumber && this.isHeldBy(body)) this.onRenewal(body.number, body.electors, now)
+        if (body.term === this.currentTerm && body.number > this.lastRenewalNumber && this.isHeldBy(body)) this.onRenewal(body.number, body.electors, now)
         return
       case 'ownershipReleased':
         if (body.term === this.currentTerm && this.isHeldBy(body)) this.released = true
     }
   }
 
-  /** Answers an owner's request for a promise not to claim for `durationMilliseconds`. */
+  /** Handles the request of an owner for a promise not to claim for `durationMilliseconds`. Returns whether the promise is granted. */
   onPromiseRequest (term: number, durationMilliseconds: number, now: number): boolean {
-    if (this.unknownSince !== undefined || term !== this.currentTerm || this.claimedAfter === term || this.released) return false
+    if (this.stateUnknownFrom !== undefined || term !== this.currentTerm || this.lastClaimedTerm === term || this.released) return false
     this.promisedUntil = Math.max(this.promisedUntil, now + durationMilliseconds + this.timings.driftMargin)
     return true
   }
 
-  /** Takes note of an elector's answer. The lease is extended once all electors have promised. */
+  /** Handles the response of an elector. The lease is extended once all electors have promised. */
   onPromise (elector: InstanceIdentity, request: number, granted: boolean): void {
     const round = this.round
-    if (round === undefined || round.request !== request || !granted || !this.holdsTerm() || this.gaveUp) return
+    if (round === undefined || round.request !== request || !granted || !this.holdsTerm() || this.resigned) return
     round.missing.delete(instanceKey(elector))
     if (round.missing.size > 0) return
     this.round = undefined
-    this.leaseUntil = Math.max(this.leaseUntil, round.askedAt + this.timings.leaseDuration)
+    this.leaseUntil = Math.max(this.leaseUntil, round.startedAt + this.timings.leaseDuration)
   }
 
-  /** Returns what is to be done now. To be called several times a renewal period. */
+  /** Returns the actions that are due. Must be called several times per renewal interval. */
   tick (now: number, view: OwnershipView): OwnershipAction[] {
-    this.forgetGoneMembers(now, view)
-    if (this.holdsTerm()) return this.gaveUp ? [] : this.tickAsOwner(now)
+    this.removeGoneMembers(now, view)
+    if (this.holdsTerm()) return this.resigned ? [] : this.tickAsOwner(now)
     return this.tickAsElector(now, view)
   }
 
-  /** Returns the record that gives ownership up on a planned stop, or undefined if not owner. Renewals and promises under way have no effect from then on. */
+  /** Resigns on a planned stop and returns the record that releases ownership, or undefined if not owner. Outstanding renewals and promises no longer extend the lease. */
   release (): RecordBody | undefined {
-    if (!this.holdsTerm() || this.gaveUp) return undefined
-    this.gaveUp = true
+    if (!this.holdsTerm() || this.resigned) return undefined
+    this.resigned = true
     this.leaseUntil = -Infinity
     this.round = undefined
     return { type: 'ownershipReleased', failureDomain: this.failureDomain, ...this.self, term: this.currentTerm }
@@ -188,43 +187,43 @@
 
   /** Returns the next renewal, whose lease counts from `now`, or undefined if not owner. */
   startRenewal (now: number, electors: readonly InstanceIdentity[]): RecordBody | undefined {
-    if (!this.holdsTerm() || this.gaveUp) return undefined
-    const number = this.nextNumber++
+    if (!this.holdsTerm() || this.resigned) return undefined
+    const number = this.nextRenewalNumber++
     this.lastRenewalSentAt = now
-    this.foldLapsedRenewals(now)
+    this.mergeExpiredRenewals(now)
     this.sentRenewals.push({ number, sentAt: now, electors })
     return { type: 'ownershipRenewed', failureDomain: this.failureDomain, ...this.self, term: this.currentTerm, number, electors: [...electors] }
   }
 
-  /** Notes that the append of the last renewal has ended, with whatever outcome. */
+  /** Must be called when the append of the last renewal has ended, whatever the outcome. */
   renewalSettled (): void {
     this.renewalInFlight = false
   }
 
-  /** Starts a round of promises and returns whom to ask; an owner without electors extends its lease at once. */
+  /** Starts a round of promises and returns the electors to send requests to. Without electors the lease is extended at once. */
   startPromiseRound (now: number): { readonly request: number, readonly electors: readonly InstanceIdentity[] } {
     const all = new Map<string, InstanceIdentity>()
     for (const electors of [this.electors, ...this.sentRenewals.map(renewal => renewal.electors)]) {
       for (const elector of electors) all.set(instanceKey(elector), elector)
     }
     all.delete(instanceKey(this.self))
-    const request = this.nextRequest++
-    this.round = all.size === 0 ? undefined : { request, askedAt: now, missing: new Set(all.keys()) }
+    const request = this.nextRequestNumber++
+    this.round = all.size === 0 ? undefined : { request, startedAt: now, missing: new Set(all.keys()) }
     if (all.size === 0) this.leaseUntil = Math.max(this.leaseUntil, now + this.timings.leaseDuration)
     return { request, electors: [...all.values()] }
   }
 
-  /** Whether the rules allow a claim now. */
+  /** Returns whether a claim is allowed now. */
   mayClaim (now: number, view: Pick<OwnershipView, 'isGone'>): boolean {
-    if (this.holdsTerm() || this.unknownSince !== undefined) return false
+    if (this.holdsTerm() || this.stateUnknownFrom !== undefined) return false
     if (this.released) return true
-    if (now < this.promisedUntil || now - this.ownerSeenAt < this.timings.leaseDuration + this.timings.driftMargin) return false
+    if (now < this.promisedUntil || now - this.ownerLastSeenAt < this.timings.leaseDuration + this.timings.driftMargin) return false
     return this.isElector() || this.ownerAndElectorsGone(now, view)
   }
 
-  /** Returns a claim and refuses promises in this term from then on. To be called only if `mayClaim`. */
+  /** Returns a claim. From then on this instance refuses promises in the current term. Must be called only if `mayClaim` returns true. */
   startClaim (now: number, electors: readonly InstanceIdentity[], view: Pick<OwnershipView, 'isGone'>): RecordBody {
-    this.claimedAfter = this.currentTerm
+    this.lastClaimedTerm = this.currentTerm
     return {
       type: 'ownershipClaimed',
       failureDomain: this.failureDomain,
@@ -235,46 +234,46 @@
     }
   }
 
-  /** Takes the state from a record of the owner; each renewal restates all of it. */
-  private adopt (body: Extract<RecordBody, { type: 'ownershipRenewed' | 'ownershipReleased' }>): void {
+  /** Restores the state from a record of the owner; each renewal restates all of it. */
+  private restoreFrom (body: Extract<RecordBody, { type: 'ownershipRenewed' | 'ownershipReleased' }>): void {
     if (body.term < this.currentTerm) return
-    this.unknownSince = undefined
+    this.stateUnknownFrom = undefined
     if (body.term === this.currentTerm && this.owner !== undefined) return
     this.currentTerm = body.term
     this.owner = { instance: body.instance, incarnation: body.incarnation }
     this.released = false
-    this.lastNumber = 0
+    this.lastRenewalNumber = 0
     this.leaseUntil = -Infinity
   }
 
   private onClaim (body: Extract<RecordBody, { type: 'ownershipClaimed' }>, now: number): void {
-    const own = body.instance === this.self.instance && body.incarnation === this.self.incarnation
-    const entitled = this.released || body.ownerAndElectorsGone || this.electors.some(elector => instanceKey(elector) === instanceKey(body))
-    if (body.afterTerm !== this.currentTerm || !entitled) return
-    const waitUntil = this.released ? now : Math.max(this.ownerSeenAt + this.timings.leaseDuration + this.timings.driftMargin, this.promisedUntil)
+    const isOwnClaim = body.instance === this.self.instance && body.incarnation === this.self.incarnation
+    const isEntitled = this.released || body.ownerAndElectorsGone || this.electors.some(elector => instanceKey(elector) === instanceKey(body))
+    if (body.afterTerm !== this.currentTerm || !isEntitled) return
+    const waitUntil = this.released ? now : Math.max(this.ownerLastSeenAt + this.timings.leaseDuration + this.timings.driftMargin, this.promisedUntil)
     this.currentTerm += 1
     this.owner = { instance: body.instance, incarnation: body.incarnation }
     this.released = false
-    this.gaveUp = false
+    this.resigned = false
     this.electors = body.electors
-    this.ownerSeenAt = now
+    this.ownerLastSeenAt = now
     this.round = undefined
     this.sentRenewals = []
-    this.lastNumber = 0
-    this.nextNumber = 1
+    this.lastRenewalNumber = 0
+    this.nextRenewalNumber = 1
     this.leaseUntil = -Infinity
     this.lastRenewalSentAt = -Infinity
-    if (own) this.actingFrom = waitUntil
+    if (isOwnClaim) this.ownerFrom = waitUntil
   }
 
   private onRenewal (number: number, electors: readonly InstanceIdentity[], now: number): void {
     this.electors = electors
-    this.lastNumber = number
-    this.ownerSeenAt = now
+    this.lastRenewalNumber = number
+    this.ownerLastSeenAt = now
     if (!this.holdsTerm()) return
     const confirmed = this.sentRenewals.find(renewal => renewal.number === number)
     this.sentRenewals = this.sentRenewals.filter(renewal => renewal.number > number)
-    if (confirmed !== undefined && !this.gaveUp) this.leaseUntil = Math.max(this.leaseUntil, confirmed.sentAt + this.timings.leaseDuration)
+    if (confirmed !== undefined && !this.resigned) this.leaseUntil = Math.max(this.leaseUntil, confirmed.sentAt + this.timings.leaseDuration)
   }
 
   private tickAsOwner (now: number): OwnershipAction[] {
@@ -285,8 +284,8 @@
       actions.push({ kind: 'renew', body })
     }
     const remaining = this.leaseUntil - now
-    const roundIsOld = this.round === undefined || now - this.round.askedAt >= this.timings.renewalInterval
-    if (remaining >= this.timings.leaseDuration / 2 || now < this.actingFrom || !roundIsOld) return actions
+    const roundIsOld = this.round === undefined || now - this.round.startedAt >= this.timings.renewalInterval
+    if (remaining >= this.timings.leaseDuration / 2 || now < this.ownerFrom || !roundIsOld) return actions
     const { request, electors } = this.startPromiseRound(now)
     if (electors.length > 0) actions.push({ kind: 'requestPromises', electors, request, durationMilliseconds: this.timings.leaseDuration })
     return actions
@@ -294,14 +293,14 @@
 
   private tickAsElector (now: number, view: OwnershipView): OwnershipAction[] {
     if (now < this.claimRetryAt || !this.mayClaim(now, view)) return []
-    if (now - view.logCurrentAt > PROBE_FRESHNESS_MILLISECONDS) return [{ kind: 'probeLog' }]
+    if (now - view.logCurrentAt > MAXIMUM_PROBE_AGE_MILLISECONDS) return [{ kind: 'probeLog' }]
     this.claimRetryAt = now + this.timings.renewalInterval
     const body = this.startClaim(now, this.knownElectors(), view)
     return [{ kind: 'claim', body, identity: `claim:${this.self.incarnation}:${this.currentTerm}` }]
   }
 
-  /** Keeps the list of sent renewals short in an outage: the electors of the oldest then count with those of the next. */
-  private foldLapsedRenewals (now: number): void {
+  /** Bounds the list of sent renewals during an outage: merges the electors of the oldest expired renewal into the next one. */
+  private mergeExpiredRenewals (now: number): void {
     while (this.sentRenewals.length > MAXIMUM_SENT_RENEWALS) {
       const [first, second, ...rest] = this.sentRenewals as [SentRenewal, SentRenewal, ...SentRenewal[]]
       if (now < first.sentAt + this.timings.leaseDuration) return
@@ -310,18 +309,18 @@
     }
   }
 
-  private forgetGoneMembers (now: number, view: OwnershipView): void {
-    for (const [name, { holder, joinedAt }] of this.joined) {
-      if (name !== this.self.instance && now - joinedAt >= JOIN_GRACE_MILLISECONDS && view.isGone(holder)) this.joined.delete(name)
+  private removeGoneMembers (now: number, view: OwnershipView): void {
+    for (const [name, { identity, joinedAt }] of this.joined) {
+      if (name !== this.self.instance && now - joinedAt >= JOIN_GRACE_MILLISECONDS && view.isGone(identity)) this.joined.delete(name)
     }
   }
 
-  /** A holder is also gone when another incarnation of the same instance has joined: a name is used by one process at a time. */
+  /** An incarnation is also gone if another incarnation of the instance has joined, because a name is used by one process at a time. */
   private ownerAndElectorsGone (now: number, view: Pick<OwnershipView, 'isGone'>): boolean {
-    return [this.owner as InstanceIdentity, ...this.electors].every(holder => {
-      const member = this.joined.get(holder.instance)
-      if (member === undefined) return view.isGone(holder)
-      return instanceKey(member.holder) !== instanceKey(holder) || (now - member.joinedAt >= JOIN_GRACE_MILLISECONDS && view.isGone(holder))
+    return [this.owner as InstanceIdentity, ...this.electors].every(identity => {
+      const member = this.joined.get(identity.instance)
+      if (member === undefined) return view.isGone(identity)
+      return instanceKey(member.identity) !== instanceKey(identity) || (now - member.joinedAt >= JOIN_GRACE_MILLISECONDS && view.isGone(identity))
     })
   }
 
@@ -337,7 +336,7 @@
     return this.isHeldBy(this.self)
   }
 
-  private isHeldBy (holder: InstanceIdentity): boolean {
-    return this.unknownSince === undefined && !this.released && this.owner !== undefined && instanceKey(this.owner) === instanceKey(holder)
+  private isHeldBy (identity: InstanceIdentity): boolean {
+    return this.stateUnknownFrom === undefined && !this.released && this.owner !== undefined && instanceKey(this.owner) === instanceKey(identity)
   }
 }
--- a/src/zones/retention.ts
+++ b/src/zones/retention.ts
@@ -1,32 +1,32 @@
-/** What is known of how long a stream keeps its records. */
+/** Retention of a stream: what the settings promise and what the last read has shown. */
 export interface Retention {
-  /** Records that the settings promise. */
+  /** Number of records that the stream keeps according to the settings. */
   readonly records: number
-  /** Time that the settings promise, in milliseconds. */
+  /** Time that the stream keeps records according to the settings, in milliseconds. */
   readonly milliseconds: number
-  /** First retained offset of the last read. */
+  /** First retained offset at the last read. */
   readonly retainedFrom: number
   /** Offset after the last record read. */
   readonly position: number
 }
 
-/** Where a record that must last was last seen in its stream. */
+/** Latest position of a record that must outlast the retention of its stream. */
 export interface RecordPosition {
   readonly offset: number
-  /** Monotonic milliseconds at which this instance read it. */
+  /** Time at which this instance read the record, in monotonic milliseconds. */
   readonly seenAt: number
 }
 
-/** Shares of the retention after which the instance that is responsible, and any other owner in its place, re-appends. */
+/** Shares of the retention after which the responsible owner re-appends a record, and after which any other owner does so in its place. */
 export const REAPPEND_SHARE = 0.5
 export const FALLBACK_REAPPEND_SHARE = 0.75
-/** Share of the time kept after which a record is re-appended; small, because a starter does not know a record's age. */
-const TIME_SHARE = 0.25
+/** Share of the retention time after which a record is re-appended; small, because an instance does not know how old a record was when it read it after its start. */
+const REAPPEND_TIME_SHARE = 0.25
 
-/** Whether a record must be re-appended now, so that a late starter still finds it. */
-export function isReappendDue (anchor: RecordPosition, retention: Retention, share: number, now: number): boolean {
+/** Returns whether a record must be re-appended now, so that an instance that starts later still finds it. */
+export function isReappendDue (latest: RecordPosition, retention: Retention, share: number, now: number): boolean {
   const { position, retainedFrom, records, milliseconds } = retention
-  if (position - anchor.offset >= records * share) return true
-  if (retainedFrom > 0 && anchor.offset < retainedFrom + (position - retainedFrom) * (1 - share)) return true
-  return now - anchor.seenAt >= milliseconds * TIME_SHARE * share / REAPPEND_SHARE
+  if (position - latest.offset >= records * share) return true
+  if (retainedFrom > 0 && latest.offset < retainedFrom + (position - retainedFrom) * (1 - share)) return true
+  return now - latest.seenAt >= milliseconds * REAPPEND_TIME_SHARE * share / REAPPEND_SHARE
 }
