--- a/test/requests/executorChooser.test.ts
+++ b/test/requests/executorChooser.test.ts
@@ -15,15 +15,15 @@
   return { executor: of, inFlight, free: 1 }
 }
 
-/** Each case guards against work that goes to the wrong one of unlike executors. */
+/** Each case guards against sending a request to the wrong one of several different executors. */
 const CASES: ReadonlyArray<{ readonly name: string, readonly candidates: readonly ExecutorCandidate[], readonly urgency: Urgency, readonly chosen: string | undefined }> = [
-  { name: 'urgent work takes the fastest', candidates: [candidate(executor('slow', 200)), candidate(executor('fast', 20))], urgency: 'urgent', chosen: 'fast' },
-  { name: 'deferrable work leaves the fastest free', candidates: [candidate(executor('slow', 200)), candidate(executor('fast', 20))], urgency: 'deferrable', chosen: 'slow' },
-  { name: 'of two alike the less loaded is taken', candidates: [candidate(executor('full', 50), 7), candidate(executor('empty', 50), 1)], urgency: 'urgent', chosen: 'empty' },
-  { name: 'fast errors attract no work', candidates: [candidate(executor('failing', 20, 3)), candidate(executor('slow', 80))], urgency: 'urgent', chosen: 'slow' },
-  { name: 'fast errors attract no deferrable work either', candidates: [candidate(executor('failing', 80, 3)), candidate(executor('fast', 20))], urgency: 'deferrable', chosen: 'fast' },
-  { name: 'a failing executor that never answered is not taken for a fast one', candidates: [candidate(executor('failing', undefined, 1)), candidate(executor('known', 50))], urgency: 'urgent', chosen: 'known' },
-  { name: 'nothing is chosen from nothing', candidates: [], urgency: 'urgent', chosen: undefined }
+  { name: 'an urgent request takes the fastest executor', candidates: [candidate(executor('slow', 200)), candidate(executor('fast', 20))], urgency: 'urgent', chosen: 'fast' },
+  { name: 'a deferrable request leaves the fastest executor free', candidates: [candidate(executor('slow', 200)), candidate(executor('fast', 20))], urgency: 'deferrable', chosen: 'slow' },
+  { name: 'of two equally fast executors the less loaded is chosen', candidates: [candidate(executor('full', 50), 7), candidate(executor('empty', 50), 1)], urgency: 'urgent', chosen: 'empty' },
+  { name: 'fast errors do not attract requests', candidates: [candidate(executor('failing', 20, 3)), candidate(executor('slow', 80))], urgency: 'urgent', chosen: 'slow' },
+  { name: 'fast errors do not attract deferrable requests either', candidates: [candidate(executor('failing', 80, 3)), candidate(executor('fast', 20))], urgency: 'deferrable', chosen: 'fast' },
+  { name: 'a failing executor without a completed request is not assumed to be fast', candidates: [candidate(executor('failing', undefined, 1)), candidate(executor('known', 50))], urgency: 'urgent', chosen: 'known' },
+  { name: 'without candidates none is chosen', candidates: [], urgency: 'urgent', chosen: undefined }
 ]
 
 describe('LeastExpectedTimeChooser', () => {
@@ -41,7 +41,7 @@
     }
   })
 
-  it('an ejected executor returns within 30 s with a slow start, however often it was ejected', () => {
+  it('an ejected executor returns within 30 s with a slow start, even after repeated ejections', () => {
     const pool = [executor('bad', 10), executor('good', 10)]
     const [bad] = pool as [Executor, Executor]
     let now = 0
@@ -59,7 +59,7 @@
     }
   })
 
-  it('single failures among successes eject nothing', () => {
+  it('single failures among successes do not eject an executor', () => {
     const pool = [executor('some', 10), executor('good', 10)]
     const [some] = pool as [Executor, Executor]
     for (let index = 0; index < 50; index += 1) {
--- a/test/requests/idempotencyKeys.test.ts
+++ b/test/requests/idempotencyKeys.test.ts
@@ -18,32 +18,32 @@
   return { type: 'keyNotRun', key: 'k', request }
 }
 
-/** Each case guards against a second run of a request with the same key, or a wrong answer to a re-submission. */
-const CASES: ReadonlyArray<{ readonly name: string, readonly records: readonly KeyRecord[], readonly now?: number, readonly asks: string, readonly decided: string }> = [
-  { name: 'an unknown key may run', records: [], asks: 'a', decided: 'run' },
-  { name: 'the same request that asks again may run', records: [started('a')], asks: 'a', decided: 'run' },
-  { name: 'another request is told that the outcome is unknown', records: [started('a')], asks: 'b', decided: 'outcomeUnknown' },
-  { name: 'the first record in the log wins', records: [started('a'), started('b')], asks: 'b', decided: 'outcomeUnknown' },
-  { name: 'a recorded answer is given again', records: [started('a'), ended('a', 'eA==')], asks: 'b', decided: 'recorded' },
-  { name: 'an answer that was not kept is alreadyRan', records: [started('a'), ended('a')], asks: 'b', decided: 'alreadyRan' },
-  { name: 'a request that was not run frees the key', records: [started('a'), notRun('a')], asks: 'b', decided: 'run' },
-  { name: 'the loser cannot free the key', records: [started('a'), started('b'), notRun('b')], asks: 'c', decided: 'outcomeUnknown' },
-  { name: 'the loser cannot end the key', records: [started('a'), started('b'), ended('b', 'eA==')], asks: 'c', decided: 'outcomeUnknown' },
-  { name: 'a request that has ended cannot be declared not run', records: [started('a'), ended('a'), notRun('a')], asks: 'b', decided: 'alreadyRan' },
-  { name: 'a key is kept to the end of its window', records: [started('a')], now: WINDOW - 1, asks: 'b', decided: 'outcomeUnknown' },
-  { name: 'a key may be used anew after its window', records: [started('a'), ended('a')], now: WINDOW, asks: 'b', decided: 'run' }
+/** Each case guards against a second run of a request with the same key, or a wrong response to a resubmission. */
+const CASES: ReadonlyArray<{ readonly name: string, readonly records: readonly KeyRecord[], readonly now?: number, readonly request: string, readonly decision: string }> = [
+  { name: 'an unknown key may run', records: [], request: 'a', decision: 'run' },
+  { name: 'the same request may run when it is submitted again', records: [started('a')], request: 'a', decision: 'run' },
+  { name: 'for another request the outcome is unknown', records: [started('a')], request: 'b', decision: 'outcomeUnknown' },
+  { name: 'the first record in the log wins', records: [started('a'), started('b')], request: 'b', decision: 'outcomeUnknown' },
+  { name: 'a recorded response is returned again', records: [started('a'), ended('a', 'eA==')], request: 'b', decision: 'recorded' },
+  { name: 'a response without a recorded body yields alreadyRan', records: [started('a'), ended('a')], request: 'b', decision: 'alreadyRan' },
+  { name: 'a request that was not run frees the key', records: [started('a'), notRun('a')], request: 'b', decision: 'run' },
+  { name: 'the loser cannot free the key', records: [started('a'), started('b'), notRun('b')], request: 'c', decision: 'outcomeUnknown' },
+  { name: 'the loser cannot end the key', records: [started('a'), started('b'), ended('b', 'eA==')], request: 'c', decision: 'outcomeUnknown' },
+  { name: 'a request that has ended cannot be declared not run', records: [started('a'), ended('a'), notRun('a')], request: 'b', decision: 'alreadyRan' },
+  { name: 'a key is kept to the end of its window', records: [started('a')], now: WINDOW - 1, request: 'b', decision: 'outcomeUnknown' },
+  { name: 'a key may be used again after its window', records: [started('a'), ended('a')], now: WINDOW, request: 'b', decision: 'run' }
 ]
 
 describe('IdempotencyKeys', () => {
-  for (const { name, records, now, asks, decided } of CASES) {
+  for (const { name, records, now, request, decision } of CASES) {
     it(name, () => {
       const keys = new IdempotencyKeys()
       for (const record of records) keys.apply(record, WINDOW)
-      assert.equal(keys.decide('k', asks, now ?? 1, WINDOW).kind, decided)
+      assert.equal(keys.decide('k', request, now ?? 1, WINDOW).kind, decision)
     })
   }
 
-  it('a key that is decided on but not yet read back is held for its request', () => {
+  it('a reserved key whose record is not yet read back is held for its request', () => {
     const keys = new IdempotencyKeys()
     keys.reserve('k', 'a', 0)
     assert.equal(keys.decide('k', 'b', 1, WINDOW).kind, 'outcomeUnknown')
@@ -60,7 +60,7 @@
     assert.notEqual(keys.decide('k', 'b', 1, WINDOW).kind, 'run')
   })
 
-  it('keeps recorded answers within a bound and forgets the oldest bodies first', () => {
+  it('bounds the recorded responses and evicts the oldest bodies first', () => {
     const keys = new IdempotencyKeys()
     const body = 'x'.repeat(1024 * 1024)
     for (let index = 0; index < 40; index += 1) {
@@ -97,7 +97,7 @@
     ['another identity', !isValidPeerProof(proof, ['key-one'], { ...request, identity: 's' }, 2000)],
     ['an old proof', !isValidPeerProof(proof, ['key-one'], request, 1001 + PROOF_VALID_MILLISECONDS)],
     ['a changed time', !isValidPeerProof(proof.replace('1000.', '1001.'), ['key-one'], request, 2000)],
-    ['nonsense', !isValidPeerProof('nonsense', ['key-one'], request, 2000)]
+    ['a malformed proof', !isValidPeerProof('nonsense', ['key-one'], request, 2000)]
   ]
-  for (const [name, holds] of table) it(name, () => assert.ok(holds))
+  for (const [name, passes] of table) it(name, () => assert.ok(passes))
 })
--- a/test/requests/poolDispatcher.test.ts
+++ b/test/requests/poolDispatcher.test.ts
@@ -39,20 +39,20 @@
 }
 
 describe('PoolDispatcher', () => {
-  it('refuses at once what cannot be answered in time, with a time to come back', () => {
+  it('rejects a request that cannot meet its deadline, with a time to retry after', () => {
     const pool = dispatcher(1, 1)
     for (let index = 0; index < 10; index += 1) assert.equal(pool.admit(request(`r${index}`, 'urgent', 5000), 0).refusal, undefined)
     assert.deepEqual(pool.admit(request('late', 'urgent', 500), 0).refusal, { code: 'deadlineUnreachable', retryAfterSeconds: 1 })
     assert.equal(pool.length, 10)
   })
 
-  it('less urgent requests ahead do not cause a refusal of an urgent one', () => {
+  it('an urgent request is not rejected because of queued requests that are less urgent', () => {
     const pool = dispatcher(1, 1)
     for (let index = 0; index < 40; index += 1) pool.admit(request(`r${index}`, 'deferrable', 60_000), 0)
     assert.equal(pool.admit(request('urgent', 'urgent', 500), 0).refusal, undefined)
   })
 
-  it('refuses at once when there is no executor', () => {
+  it('rejects a request when there is no executor', () => {
     const pool = dispatcher(0, 1)
     assert.equal(pool.admit(request('r', 'urgent', 5000), 0).refusal?.code, 'noExecutor')
   })
@@ -65,7 +65,7 @@
     assert.equal(pool.takeExpired(3000).length, 1)
   })
 
-  it('sends a request to no executor twice while another is free', () => {
+  it('does not retry a request on the same executor while another is free', () => {
     const pool = dispatcher(2, 1)
     pool.admit(request('again', 'urgent', 5000, ['e0']), 0)
     assert.equal(pool.next(0)?.executor.name, 'e1')
@@ -82,7 +82,7 @@
     assert.equal(pool.next(1), undefined)
   })
 
-  it('keeps the last of 16 free slots for work that is not deferrable', () => {
+  it('reserves the last of 16 free slots for requests that are not deferrable', () => {
     const pool = dispatcher(2, 8)
     for (let index = 0; index < 20; index += 1) pool.admit(request(`d${index}`, 'deferrable', 60_000), 0)
     assert.equal(drain(pool).length, 15)
@@ -98,7 +98,7 @@
     assert.deepEqual([1, 2, 3, 4, 5].map(() => queue.take()?.identity), ['u1', 'u2', 'n', 'd', undefined])
   })
 
-  it('when full, evicts the least urgent with the latest deadline, and nothing as urgent', () => {
+  it('when full, evicts the least urgent request with the latest deadline, but none that is as urgent as the new one', () => {
     const queue = new WaitingQueue<DispatchableRequest>(3)
     for (const [identity, urgency, deadline] of [['n', 'normal', 1], ['d1', 'deferrable', 2], ['d2', 'deferrable', 3]] as const) queue.push(request(identity, urgency, deadline))
     assert.equal(queue.push(request('u1', 'urgent', 9))?.identity, 'd2')
@@ -108,7 +108,7 @@
     assert.equal(queue.length, 3)
   })
 
-  it('starves no class while more urgent requests always wait', () => {
+  it('starves no class while more urgent requests are always queued', () => {
     const queue = new WaitingQueue<DispatchableRequest>(1000)
     for (let index = 0; index < 100; index += 1) {
       queue.push(request('normal', 'normal', 1))
@@ -136,7 +136,7 @@
 })
 
 describe('RetryBudget', () => {
-  it('allows at most 1.1 attempts a request when everything fails', () => {
+  it('allows at most 1.1 attempts per request when every attempt fails', () => {
     for (const requests of [1, 9, 10, 100, 10_000]) {
       const budget = new RetryBudget()
       let attempts = 0
@@ -157,10 +157,10 @@
   }
 
   for (const mix of [{ urgent: 0.3, normal: 0.3, deferrable: 0.4 }, { urgent: 1, normal: 0, deferrable: 0 }]) {
-    it(`urgent goodput at three times the capacity is within 10 % of that without overload (${mix.urgent * 100} % urgent)`, () => {
-      const without = new RequestSimulation({ ...options, mix, load: 0.95 }).run()
+    it(`urgent goodput at three times the capacity is within 10 % of the goodput without overload (${mix.urgent * 100} % urgent)`, () => {
+      const baseline = new RequestSimulation({ ...options, mix, load: 0.95 }).run()
       const overloaded = new RequestSimulation({ ...options, mix, load: 3 }).run()
-      assert.ok(overloaded.answeredInTime.urgent >= without.answeredInTime.urgent * 0.9, `${overloaded.answeredInTime.urgent} against ${without.answeredInTime.urgent}`)
+      assert.ok(overloaded.answeredInTime.urgent >= baseline.answeredInTime.urgent * 0.9, `${overloaded.answeredInTime.urgent} against ${baseline.answeredInTime.urgent}`)
       assert.ok(overloaded.mostInFlight <= 8)
     })
   }
--- a/test/requests/slotAllocator.test.ts
+++ b/test/requests/slotAllocator.test.ts
@@ -9,7 +9,7 @@
 const LIMITS: ExecutorLimits = { name: 'x', pool: 'pool', slots: 8, connections: 60, maximumRunMilliseconds: MAXIMUM_RUN }
 const GRANT_END = GRANT_VALID_MILLISECONDS + GRANT_DRIFT_MARGIN_MILLISECONDS
 
-/** A holder with its demand; messages are passed by the test, so that it can lose, delay and repeat them. */
+/** A holder with its demand. The test delivers its messages, so that it can lose, delay and duplicate them. */
 class Instance {
   readonly holder = new SlotHolder()
   waiting = 0
@@ -25,7 +25,7 @@
     return this.holder.applyGrants({ ...decision, validMilliseconds: GRANT_VALID_MILLISECONDS })
   }
 
-  /** Starts as many requests as it may. */
+  /** Starts up to `most` requests, as far as slots are free. */
   fill (now: number, most = 100): number {
     let started = 0
     while (started < most && this.holder.acquire('x', now)) started += 1
@@ -45,7 +45,7 @@
   }
 }
 
-function site (count: number, limits = LIMITS, earlierGrantsEnd = -Infinity): { allocator: SlotAllocator, instances: Instance[] } {
+function createSite (count: number, limits = LIMITS, earlierGrantsEnd = -Infinity): { allocator: SlotAllocator, instances: Instance[] } {
   const allocator = new SlotAllocator(earlierGrantsEnd)
   allocator.setExecutors([limits])
   return { allocator, instances: Array.from({ length: count }, (_, index) => new Instance(`i${index}`)) }
@@ -64,18 +64,18 @@
   {
     name: 'all slots and no more are granted to live holders',
     run: () => {
-      const { allocator, instances } = site(3)
+      const { allocator, instances } = createSite(3)
       settle(allocator, instances, 0)
       assert.equal(totalFree(instances, 1), 8)
     }
   },
   {
-    name: 'slots of a holder that died idle are granted only after its grant and a whole run',
+    name: 'slots of a crashed holder are granted again only after its grant has expired and the maximum run time has passed',
     run: () => {
-      const { allocator, instances } = site(2)
+      const { allocator, instances } = createSite(2)
       settle(allocator, instances, 0)
-      const [first, dead] = [instanceAt(instances, 0), instanceAt(instances, 1)]
-      const started = dead.fill(GRANT_VALID_MILLISECONDS - 1)
+      const [first, crashed] = [instanceAt(instances, 0), instanceAt(instances, 1)]
+      const started = crashed.fill(GRANT_VALID_MILLISECONDS - 1)
       assert.equal(started, 4)
       for (let now = 250; now < GRANT_END + MAXIMUM_RUN; now += 250) {
         exchange(allocator, [first], first, now)
@@ -86,9 +86,9 @@
     }
   },
   {
-    name: 'a report that repeats an older one frees nothing that is in use',
+    name: 'an older or duplicate report frees no slot that is in use',
     run: () => {
-      const { allocator, instances } = site(2)
+      const { allocator, instances } = createSite(2)
       const [first, second] = [instanceAt(instances, 0), instanceAt(instances, 1)]
       settle(allocator, instances, 0)
       const old = first.report(1)
@@ -103,9 +103,9 @@
     }
   },
   {
-    name: 'grants that arrive out of order never bring an older, greater grant back',
+    name: 'grants that arrive out of order never restore an older, greater grant',
     run: () => {
-      const { allocator, instances } = site(2)
+      const { allocator, instances } = createSite(2)
       const [first, second] = [instanceAt(instances, 0), instanceAt(instances, 1)]
       settle(allocator, [first], 0)
       const late = allocator.onReport(first.key, first.report(1), 1)[0] as HolderGrants
@@ -118,9 +118,9 @@
     }
   },
   {
-    name: 'a lowered grant that is lost keeps counting, and one not confirmed frees nothing',
+    name: 'a lowered grant that is lost or not confirmed frees no slot',
     run: () => {
-      const { allocator, instances } = site(2)
+      const { allocator, instances } = createSite(2)
       const [first, second] = [instanceAt(instances, 0), instanceAt(instances, 1)]
       settle(allocator, [first], 0)
       second.waiting = 30
@@ -133,7 +133,7 @@
   {
     name: 'a confirmed lowered grant frees an executor that the holder no longer mentions',
     run: () => {
-      const { allocator, instances } = site(1)
+      const { allocator, instances } = createSite(1)
       const first = instanceAt(instances, 0)
       settle(allocator, [first], 0)
       allocator.onReport(first.key, { ...first.report(1), uses: [] }, 1)
@@ -144,9 +144,9 @@
     }
   },
   {
-    name: 'a paused holder starts nothing after its grant, not even a request that has its slot',
+    name: 'a paused holder starts no request after its grant has expired, not even one that has acquired a slot',
     run: () => {
-      const { allocator, instances } = site(1)
+      const { allocator, instances } = createSite(1)
       const first = instanceAt(instances, 0)
       settle(allocator, instances, 0)
       assert.equal(first.holder.acquire('x', 1), true)
@@ -159,7 +159,7 @@
   {
     name: 'a restarted holder does not take over the slots of its predecessor',
     run: () => {
-      const { allocator, instances } = site(1)
+      const { allocator, instances } = createSite(1)
       settle(allocator, instances, 0)
       const successor = new Instance('i0-again')
       exchange(allocator, [successor], successor, 100)
@@ -167,9 +167,9 @@
     }
   },
   {
-    name: 'lowered limits are never answered by a negative grant and are kept once confirmed',
+    name: 'a lowered limit never leads to a negative grant and is kept once confirmed',
     run: () => {
-      const { allocator, instances } = site(3)
+      const { allocator, instances } = createSite(3)
       settle(allocator, instances, 0)
       for (const instance of instances) instance.fill(1)
       allocator.setExecutors([{ ...LIMITS, slots: 2, connections: 6 }])
@@ -184,12 +184,12 @@
     }
   },
   {
-    name: 'an executor that leaves the list and returns still counts what runs on it',
+    name: 'requests on an executor that leaves the list and returns still count',
     run: () => {
-      const { allocator, instances } = site(2)
-      const [first, dead] = [instanceAt(instances, 0), instanceAt(instances, 1)]
+      const { allocator, instances } = createSite(2)
+      const [first, crashed] = [instanceAt(instances, 0), instanceAt(instances, 1)]
       settle(allocator, instances, 0)
-      dead.fill(GRANT_VALID_MILLISECONDS - 1)
+      crashed.fill(GRANT_VALID_MILLISECONDS - 1)
       allocator.setExecutors([])
       const returnsAt = GRANT_END + 100
       for (let now = 250; now < returnsAt; now += 250) exchange(allocator, [first], first, now)
@@ -199,12 +199,12 @@
     }
   },
   {
-    name: 'after a change of owner, reported slots move at once and unreported ones after grant and run',
+    name: 'after a change of owner, reported slots move at once and unreported slots after grant and maximum run time',
     run: () => {
-      const { allocator, instances } = site(3)
+      const { allocator, instances } = createSite(3)
       settle(allocator, instances, 0)
-      const [first, second, dead] = [instanceAt(instances, 0), instanceAt(instances, 1), instanceAt(instances, 2)]
-      const lost = dead.holder.free('x', 1)
+      const [first, second, crashed] = [instanceAt(instances, 0), instanceAt(instances, 1), instanceAt(instances, 2)]
+      const lost = crashed.holder.free('x', 1)
       const takeover = 1000
       const next = new SlotAllocator(takeover + GRANT_END)
       next.setExecutors([LIMITS])
@@ -221,17 +221,17 @@
     }
   },
   {
-    name: 'a holder that joins while an earlier owner\'s grants may last gets only what others gave back',
+    name: 'a holder that joins while grants of an earlier owner may be valid gets only what other holders have returned',
     run: () => {
-      const { allocator, instances } = site(2, LIMITS, GRANT_END)
+      const { allocator, instances } = createSite(2, LIMITS, GRANT_END)
       settle(allocator, instances, 0)
       assert.equal(totalFree(instances, 0), 0)
     }
   },
   {
-    name: 'a planned stop gives slots back at once, apart from those in flight',
+    name: 'a planned stop returns slots at once, except for those in flight',
     run: () => {
-      const { allocator, instances } = site(2)
+      const { allocator, instances } = createSite(2)
       const [first, leaving] = [instanceAt(instances, 0), instanceAt(instances, 1)]
       settle(allocator, instances, 0)
       leaving.fill(1, 1)
@@ -245,7 +245,7 @@
   {
     name: 'open connections of a silent holder count until its process has ended',
     run: () => {
-      const { allocator, instances } = site(2)
+      const { allocator, instances } = createSite(2)
       const [first, paused] = [instanceAt(instances, 0), instanceAt(instances, 1)]
       settle(allocator, instances, 0)
       const connections = paused.holder.connections('x', 1)
@@ -259,9 +259,9 @@
     }
   },
   {
-    name: 'a pool of connections that is being closed still counts',
+    name: 'connections that are being closed still count',
     run: () => {
-      const { allocator, instances } = site(2)
+      const { allocator, instances } = createSite(2)
       const [first, second] = [instanceAt(instances, 0), instanceAt(instances, 1)]
       settle(allocator, [first], 0)
       first.holder.setOpenConnections('x', 55)
@@ -278,14 +278,14 @@
   for (const { name, run } of CASES) it(name, run)
 
   for (const seed of [1, 2, 3, 4, 5, 6, 7, 8]) {
-    it(`keep the limits with lost, late, repeated and reordered messages, deaths and changes of owner (seed ${seed})`, () => randomRun(seed))
+    it(`keep the limits with lost, late, duplicate and reordered messages, crashes and changes of owner (seed ${seed})`, () => randomRun(seed))
   }
 })
 
 interface Running { readonly owner: Instance, readonly endsAt: number }
 interface Message { readonly at: number, readonly deliver: () => void }
 
-/** Drives holders and successive owners at random and checks the true number of running requests and open connections. */
+/** Drives holders and successive owners at random and checks the actual number of running requests. */
 function randomRun (seed: number): void {
   const random = new Random(seed)
   let instances = Array.from({ length: 5 }, (_, index) => new Instance(`i${index}`))
