--- a/test/zones/appendBudget.test.ts
+++ b/test/zones/appendBudget.test.ts
@@ -5,51 +5,51 @@
 import { OWNERSHIP_TIMINGS } from '../../src/zones/ownership.js'
 import { REAPPEND_SHARE } from '../../src/zones/retention.js'
 
-const DAY_SECONDS = 86_400
-const BUDGET = 300
+const SECONDS_PER_DAY = 86_400
+const MAXIMUM_APPENDS_PER_SECOND = 300
 const FAILURE_DOMAINS = 22
-const JOBS_A_DAY = 86_000
-const CHANGES_A_DAY = 6000
-const REPLACEMENTS_A_DAY = 3300
+const JOBS_PER_DAY = 86_000
+const CONFIGURATION_CHANGES_PER_DAY = 6000
+const INSTANCE_REPLACEMENTS_PER_DAY = 3300
 const RETAINED_RECORDS = 20_000
-/** Open jobs at the target size: 210,000 running tasks as if each were a job of its own, which is the upper bound. */
+/** Upper bound on open jobs at the target size: 210,000 running tasks, each counted as a job of its own. */
 const OPEN_JOBS = 210_000
-/** A day of jobs brings three records each: accepted, ended, and a cancellation at most. */
-const JOB_RECORDS = 3
-const REAPPEND_BATCH = 200
+/** Records per job at most: accepted, ended, and a cancellation. */
+const RECORDS_PER_JOB = 3
+const REAPPEND_BATCH_RECORDS = 200
 
-const recordsASecond = JOBS_A_DAY * JOB_RECORDS / DAY_SECONDS
-const openJobsOfADomain = OPEN_JOBS / FAILURE_DOMAINS
-/** Seconds between two rounds by count: a round's own records bring the next one nearer. */
-const roundSeconds = (RETAINED_RECORDS * REAPPEND_SHARE - openJobsOfADomain) / (recordsASecond / FAILURE_DOMAINS)
+const jobRecordsPerSecond = JOBS_PER_DAY * RECORDS_PER_JOB / SECONDS_PER_DAY
+const openJobsPerDomain = OPEN_JOBS / FAILURE_DOMAINS
+/** Seconds between two re-appends by count. The re-appended records themselves shorten the interval. */
+const reappendIntervalSeconds = (RETAINED_RECORDS * REAPPEND_SHARE - openJobsPerDomain) / (jobRecordsPerSecond / FAILURE_DOMAINS)
 
-const LINES: ReadonlyArray<{ readonly kind: string, readonly appendsASecond: number }> = [
-  { kind: 'ownership renewals', appendsASecond: FAILURE_DOMAINS * 1000 / OWNERSHIP_TIMINGS.renewalInterval },
-  { kind: 'joins, claims and releases', appendsASecond: 3 * REPLACEMENTS_A_DAY / DAY_SECONDS },
-  { kind: 'jobs, unbatched', appendsASecond: recordsASecond },
-  { kind: 'published configurations', appendsASecond: CHANGES_A_DAY / DAY_SECONDS },
-  { kind: 'restated configuration', appendsASecond: CHANGES_A_DAY / DAY_SECONDS / (RETAINED_RECORDS * REAPPEND_SHARE) },
-  { kind: 'open jobs re-appended by count', appendsASecond: FAILURE_DOMAINS * Math.ceil(openJobsOfADomain / REAPPEND_BATCH) / roundSeconds },
-  { kind: 'open jobs re-appended by time', appendsASecond: FAILURE_DOMAINS * 1000 / RETENTION_CHECK_MILLISECONDS }
+const APPEND_SOURCES: ReadonlyArray<{ readonly kind: string, readonly appendsPerSecond: number }> = [
+  { kind: 'ownership renewals', appendsPerSecond: FAILURE_DOMAINS * 1000 / OWNERSHIP_TIMINGS.renewalInterval },
+  { kind: 'joins, claims and releases', appendsPerSecond: 3 * INSTANCE_REPLACEMENTS_PER_DAY / SECONDS_PER_DAY },
+  { kind: 'jobs, unbatched', appendsPerSecond: jobRecordsPerSecond },
+  { kind: 'published configurations', appendsPerSecond: CONFIGURATION_CHANGES_PER_DAY / SECONDS_PER_DAY },
+  { kind: 'restated configuration', appendsPerSecond: CONFIGURATION_CHANGES_PER_DAY / SECONDS_PER_DAY / (RETAINED_RECORDS * REAPPEND_SHARE) },
+  { kind: 'open jobs re-appended by count', appendsPerSecond: FAILURE_DOMAINS * Math.ceil(openJobsPerDomain / REAPPEND_BATCH_RECORDS) / reappendIntervalSeconds },
+  { kind: 'open jobs re-appended by time', appendsPerSecond: FAILURE_DOMAINS * 1000 / RETENTION_CHECK_MILLISECONDS }
 ]
 
-/** Guards against a change of a constant that overruns the platform's appends, and against a stale page. */
+/** Guards against a change of a constant that exceeds the append rate of the platform, and against outdated documentation. */
 describe('append budget at the target size', () => {
-  const sum = LINES.reduce((total, line) => total + line.appendsASecond, 0)
+  const sum = APPEND_SOURCES.reduce((total, source) => total + source.appendsPerSecond, 0)
 
-  it(`is at most ${BUDGET} a second`, context => {
-    context.diagnostic(`${sum.toFixed(2)} appends a second`)
-    assert.ok(sum <= BUDGET)
+  it(`is at most ${MAXIMUM_APPENDS_PER_SECOND} appends per second`, context => {
+    context.diagnostic(`${sum.toFixed(2)} appends per second`)
+    assert.ok(sum <= MAXIMUM_APPENDS_PER_SECOND)
   })
 
-  it('leaves the open jobs of a failure domain within half of the retained records, so that re-appends do not feed themselves', () => {
-    assert.ok(openJobsOfADomain < RETAINED_RECORDS * REAPPEND_SHARE)
+  it('keeps the open jobs of a failure domain below half of the retained records, so that re-appends do not trigger further re-appends', () => {
+    assert.ok(openJobsPerDomain < RETAINED_RECORDS * REAPPEND_SHARE)
   })
 
-  it('is what docs/decisions/append-budget.md says', () => {
+  it('matches docs/decisions/append-budget.md', () => {
     const page = readFileSync(new URL('../../../docs/decisions/append-budget.md', import.meta.url), 'utf8')
-    for (const { kind, appendsASecond } of [...LINES, { kind: 'sum', appendsASecond: sum }]) {
-      assert.ok(page.includes(`| ${kind} | ${appendsASecond.toFixed(4)} |`), `| ${kind} | ${appendsASecond.toFixed(4)} |`)
+    for (const { kind, appendsPerSecond } of [...APPEND_SOURCES, { kind: 'sum', appendsPerSecond: sum }]) {
+      assert.ok(page.includes(`| ${kind} | ${appendsPerSecond.toFixed(4)} |`), `| ${kind} | ${appendsPerSecond.toFixed(4)} |`)
     }
   })
 })
--- a/test/zones/ownership.test.ts
+++ b/test/zones/ownership.test.ts
@@ -8,79 +8,79 @@
 const B: InstanceIdentity = { instance: 'b', incarnation: 'b1' }
 const C: InstanceIdentity = { instance: 'c', incarnation: 'c1' }
 
-/** A log and instances that read it at once, with one clock. */
+/** Simulates a log and instances that read it without delay, with one common clock. */
 class Site {
   now = 0
   readonly records: StoredRecord[] = []
-  logAway = false
+  logUnavailable = false
   readonly gone = new Set<string>()
   readonly instances = new Map<string, Ownership>()
   readonly stopped = new Set<string>()
 
-  start (holder: InstanceIdentity): Ownership {
-    const rules = new Ownership('zone-a', holder)
-    for (const record of this.records) rules.onRecord(record, this.now)
-    this.instances.set(holder.incarnation, rules)
-    return rules
+  start (identity: InstanceIdentity): Ownership {
+    const ownership = new Ownership('zone-a', identity)
+    for (const record of this.records) ownership.onRecord(record, this.now)
+    this.instances.set(identity.incarnation, ownership)
+    return ownership
   }
 
   append (body: RecordBody, readers: Iterable<Ownership> = this.instances.values()): void {
     const record = { offset: this.records.length, identity: `${this.records.length}`, writer: '', logicalTime: 0, body }
     this.records.push(record)
-    for (const rules of readers) rules.onRecord(record, this.now)
+    for (const ownership of readers) ownership.onRecord(record, this.now)
   }
 
-  join (holder: InstanceIdentity): void {
-    this.append({ type: 'instanceJoined', failureDomain: 'zone-a', ...holder })
+  join (identity: InstanceIdentity): void {
+    this.append({ type: 'instanceJoined', failureDomain: 'zone-a', ...identity })
   }
 
-  /** Runs until `until`; returns the time at which `awaited` became owner, or Infinity. */
+  /** Runs until `until`. Returns the time at which `awaited` became owner, or Infinity if it did not. */
   run (until: number, awaited?: Ownership): number {
     let since = Infinity
     for (; this.now < until; this.now += TICK_MILLISECONDS) {
-      for (const [incarnation, rules] of this.instances) {
+      for (const [incarnation, ownership] of this.instances) {
         if (this.stopped.has(incarnation)) continue
-        for (const action of rules.tick(this.now, this.view())) this.perform(rules, action)
+        for (const action of ownership.tick(this.now, this.view())) this.perform(ownership, action)
       }
-      assert.ok([...this.instances].filter(([name, rules]) => !this.stopped.has(name) && rules.isOwner(this.now)).length <= 1, 'one owner')
+      assert.ok([...this.instances].filter(([name, ownership]) => !this.stopped.has(name) && ownership.isOwner(this.now)).length <= 1, 'one owner')
       if (awaited?.isOwner(this.now) === true) since = Math.min(since, this.now)
     }
     return since
   }
 
   view (): OwnershipView {
-    return { isGone: holder => this.gone.has(holder.incarnation), logCurrentAt: this.logAway ? -Infinity : this.now }
+    return { isGone: identity => this.gone.has(identity.incarnation), logCurrentAt: this.logUnavailable ? -Infinity : this.now }
   }
 
-  private perform (rules: Ownership, action: OwnershipAction): void {
+  private perform (ownership: Ownership, action: OwnershipAction): void {
     if (action.kind === 'requestPromises') {
       for (const elector of action.electors) {
         const other = this.instances.get(elector.incarnation)
         if (other === undefined || this.stopped.has(elector.incarnation)) continue
-        rules.onPromise(elector, action.request, other.onPromiseRequest(rules.term, action.durationMilliseconds, this.now))
+        ownership.onPromise(elector, action.request, other.onPromiseRequest(ownership.term, action.durationMilliseconds, this.now))
       }
       return
     }
     if (action.kind === 'probeLog') return
-    if (action.kind === 'renew') rules.renewalSettled()
-    if (!this.logAway) this.append(action.body)
+    if (action.kind === 'renew') ownership.renewalSettled()
+    if (!this.logUnavailable) this.append(action.body)
   }
 }
 
-function siteOf (...holders: InstanceIdentity[]): Site {
+function createSite (...identities: InstanceIdentity[]): Site {
   const site = new Site()
-  for (const holder of holders) site.start(holder)
-  for (const holder of holders) site.join(holder)
+  for (const identity of identities) site.start(identity)
+  for (const identity of identities) site.join(identity)
   return site
 }
 
 function ownerOf (site: Site): string | undefined {
-  return [...site.instances].find(([incarnation, rules]) => !site.stopped.has(incarnation) && rules.isOwner(site.now))?.[0]
+  return [...site.instances].find(([incarnation, ownership]) => !site.stopped.has(incarnation) && ownership.isOwner(site.now))?.[0]
 }
 
 describe('Ownership', () => {
-  it('an elector takes over within lease, margin and two ticks of the owner\'s death', () => {
-    const site = siteOf(A, B)
+  it('an elector takes over within lease, margin and two ticks after the owner stopped', () => {
+    const site = createSite(A, B)
     site.run(3000)
     assert.equal(ownerOf(site), 'a1')
     site.stopped.add('a1')
@@ -88,30 +88,30 @@
     assert.ok(since - 3000 <= OWNERSHIP_TIMINGS.leaseDuration + OWNERSHIP_TIMINGS.driftMargin + 2 * TICK_MILLISECONDS, `took over at ${since}`)
   })
 
-  it('an outage of the log of a minute keeps the owner, and renewals go on afterwards', () => {
-    const site = siteOf(A, B, C)
+  it('the owner remains during a log outage of one minute, and renewals continue afterwards', () => {
+    const site = createSite(A, B, C)
     site.run(3000)
-    site.logAway = true
+    site.logUnavailable = true
     site.run(63_000)
     assert.equal(ownerOf(site), 'a1')
-    site.logAway = false
+    site.logUnavailable = false
     site.run(80_000)
     assert.equal(ownerOf(site), 'a1')
     assert.equal(site.instances.get('b1')?.term, 1)
   })
 
-  it('an owner that paused through an outage acts on nothing past its lease until all electors promise', () => {
-    const site = siteOf(A, B)
+  it('an owner that was paused past its lease during an outage does not act until all electors promise', () => {
+    const site = createSite(A, B)
     site.run(3000)
-    site.logAway = true
+    site.logUnavailable = true
     site.now += 10_000
     assert.equal(site.instances.get('a1')?.isOwner(site.now), false)
     site.run(14_000)
     assert.equal(ownerOf(site), 'a1')
   })
 
-  it('a renewal or promise that arrives after the release gives no lease', () => {
-    const site = siteOf(A, B)
+  it('a renewal or promise that arrives after the release does not extend the lease', () => {
+    const site = createSite(A, B)
     site.run(3000)
     const owner = site.instances.get('a1') as Ownership
     const renewal = owner.startRenewal(site.now, [B]) as RecordBody
@@ -123,8 +123,8 @@
     assert.deepEqual(owner.tick(site.now, site.view()), [])
   })
 
-  it('an elector that has sent a claim gives no promise in that term, however long the claim is unanswered', () => {
-    const site = siteOf(A, B)
+  it('an elector that has sent a claim grants no promise in that term, even while the claim is unconfirmed', () => {
+    const site = createSite(A, B)
     site.run(3000)
     const elector = site.instances.get('b1') as Ownership
     site.now += 10_000
@@ -133,8 +133,8 @@
     assert.equal(elector.onPromiseRequest(1, 4000, site.now + 60_000), false)
   })
 
-  it('an elector repeats an unanswered claim with the same identity, so that it counts once', () => {
-    const site = siteOf(A, B)
+  it('an elector repeats an unconfirmed claim with the same identity, so that it is applied once', () => {
+    const site = createSite(A, B)
     site.run(3000)
     const elector = site.instances.get('b1') as Ownership
     const identities = [10_000, 11_000].flatMap(later => elector.tick(site.now + later, { ...site.view(), logCurrentAt: site.now + later }).map(action => action.kind === 'claim' ? action.identity : action.kind))
@@ -142,14 +142,14 @@
   })
 
   it('an elector reads the log to its end before it claims', () => {
-    const site = siteOf(A, B)
+    const site = createSite(A, B)
     site.run(3000)
     const elector = site.instances.get('b1') as Ownership
     assert.deepEqual(elector.tick(site.now + 10_000, { ...site.view(), logCurrentAt: 0 }), [{ kind: 'probeLog' }])
   })
 
-  it('lost renewals neither stop the owner nor shift later confirmations', () => {
-    const site = siteOf(A, B)
+  it('lost renewals neither stop the owner nor change the lease of a later confirmed renewal', () => {
+    const site = createSite(A, B)
     site.run(3000)
     const owner = site.instances.get('a1') as Ownership
     for (let lost = 0; lost < 20; lost += 1) owner.startRenewal(site.now + lost * 1000, [B])
@@ -158,8 +158,8 @@
     assert.equal(owner.leaseEnd, site.now + 20_000 + OWNERSHIP_TIMINGS.leaseDuration)
   })
 
-  it('a member that was replaced leaves the electors', () => {
-    const site = siteOf(A, B, C)
+  it('a replaced member is no longer an elector', () => {
+    const site = createSite(A, B, C)
     site.run(15_000)
     site.stopped.add('c1')
     site.gone.add('c1')
@@ -170,28 +170,29 @@
   })
 
   it('after a restart of all instances under the same names one of the new incarnations takes over', () => {
-    const site = siteOf(A, B)
+    const site = createSite(A, B)
     site.run(3000)
     site.instances.clear()
     const next = [{ instance: 'a', incarnation: 'a2' }, { instance: 'b', incarnation: 'b2' }]
-    for (const holder of next) site.start(holder)
-    for (const holder of next) site.join(holder)
+    for (const identity of next) site.start(identity)
+    for (const identity of next) site.join(identity)
     site.run(10_000)
     assert.match(ownerOf(site) ?? '', /2$/)
   })
+
   const TRUNCATED: ReadonlyArray<{ readonly name: string, readonly body: RecordBody | undefined, readonly term: number, readonly owner: string | undefined, readonly mayClaim: boolean }> = [
     { name: 'a renewal restates the owner', body: { type: 'ownershipRenewed', failureDomain: 'zone-a', ...A, term: 7, number: 9, electors: [B] }, term: 7, owner: 'a', mayClaim: false },
-    { name: 'a release frees the term', body: { type: 'ownershipReleased', failureDomain: 'zone-a', ...A, term: 7 }, term: 7, owner: undefined, mayClaim: true },
-    { name: 'a claim alone tells nothing', body: { type: 'ownershipClaimed', failureDomain: 'zone-a', ...A, afterTerm: 0, electors: [B], ownerAndElectorsGone: false }, term: 0, owner: undefined, mayClaim: false },
-    { name: 'an empty stream gives terms above all earlier ones', body: undefined, term: 500, owner: undefined, mayClaim: true }
+    { name: 'a release allows a claim', body: { type: 'ownershipReleased', failureDomain: 'zone-a', ...A, term: 7 }, term: 7, owner: undefined, mayClaim: true },
+    { name: 'a claim alone does not determine the owner', body: { type: 'ownershipClaimed', failureDomain: 'zone-a', ...A, afterTerm: 0, electors: [B], ownerAndElectorsGone: false }, term: 0, owner: undefined, mayClaim: false },
+    { name: 'an empty stream continues with terms above all earlier ones', body: undefined, term: 500, owner: undefined, mayClaim: true }
   ]
   for (const { name, body, term, owner, mayClaim } of TRUNCATED) {
-    it(`a late starter whose oldest records are gone: ${name}`, () => {
-      const rules = new Ownership('zone-a', B)
-      rules.markTruncated(500)
-      if (body !== undefined) rules.onRecord({ offset: 500, identity: 'one', writer: 'a', logicalTime: 0, body }, 0)
-      rules.markCaughtUp(body !== undefined)
-      assert.deepEqual([rules.term, rules.currentOwner?.instance, rules.mayClaim(100, { isGone: () => false })], [term, owner, mayClaim])
+    it(`an instance that starts after the oldest records were truncated: ${name}`, () => {
+      const ownership = new Ownership('zone-a', B)
+      ownership.markTruncated(500)
+      if (body !== undefined) ownership.onRecord({ offset: 500, identity: 'one', writer: 'a', logicalTime: 0, body }, 0)
+      ownership.markCaughtUp(body !== undefined)
+      assert.deepEqual([ownership.term, ownership.currentOwner?.instance, ownership.mayClaim(100, { isGone: () => false })], [term, owner, mayClaim])
     })
   }
 })
--- a/test/zones/retention.test.ts
+++ b/test/zones/retention.test.ts
@@ -3,22 +3,22 @@
 import { isReappendDue, REAPPEND_SHARE, FALLBACK_REAPPEND_SHARE } from '../../src/zones/retention.js'
 
 const HOUR = 3_600_000
-const KEPT = { records: 1000, milliseconds: 24 * HOUR, retainedFrom: 0, position: 100 }
+const RETENTION = { records: 1000, milliseconds: 24 * HOUR, retainedFrom: 0, position: 100 }
 
-/** Each case guards against a record that leaves the retention period before it is re-appended, or against needless re-appends. */
+/** Each case guards against a record that is lost to retention before it is re-appended, or against unnecessary re-appends. */
 const CASES = [
-  { name: 'a fresh record stays', offset: 0, kept: KEPT, share: REAPPEND_SHARE, age: 0, due: false },
-  { name: 'half of the records kept by the settings have followed', offset: 0, kept: { ...KEPT, position: 500 }, share: REAPPEND_SHARE, age: 0, due: true },
-  { name: 'a substitute waits longer', offset: 0, kept: { ...KEPT, position: 500 }, share: FALLBACK_REAPPEND_SHARE, age: 0, due: false },
-  { name: 'a substitute steps in', offset: 0, kept: { ...KEPT, position: 750 }, share: FALLBACK_REAPPEND_SHARE, age: 0, due: true },
-  { name: 'a shorter retention is learned from the offsets', offset: 140, kept: { ...KEPT, retainedFrom: 100, position: 200 }, share: REAPPEND_SHARE, age: 0, due: true },
-  { name: 'a record in the newer half stays', offset: 160, kept: { ...KEPT, retainedFrom: 100, position: 200 }, share: REAPPEND_SHARE, age: 0, due: false },
-  { name: 'a quiet stream is restated by time', offset: 99, kept: KEPT, share: REAPPEND_SHARE, age: 6 * HOUR, due: true },
-  { name: 'a substitute on a quiet stream waits longer', offset: 99, kept: KEPT, share: FALLBACK_REAPPEND_SHARE, age: 6 * HOUR, due: false }
+  { name: 'a fresh record is not re-appended', offset: 0, retention: RETENTION, share: REAPPEND_SHARE, age: 0, due: false },
+  { name: 'a record is re-appended after half of the records that the settings keep', offset: 0, retention: { ...RETENTION, position: 500 }, share: REAPPEND_SHARE, age: 0, due: true },
+  { name: 'the fallback share is reached later', offset: 0, retention: { ...RETENTION, position: 500 }, share: FALLBACK_REAPPEND_SHARE, age: 0, due: false },
+  { name: 'a record is re-appended by another owner once the fallback share is reached', offset: 0, retention: { ...RETENTION, position: 750 }, share: FALLBACK_REAPPEND_SHARE, age: 0, due: true },
+  { name: 'a shorter actual retention is derived from the offsets', offset: 140, retention: { ...RETENTION, retainedFrom: 100, position: 200 }, share: REAPPEND_SHARE, age: 0, due: true },
+  { name: 'a record in the newer half is not re-appended', offset: 160, retention: { ...RETENTION, retainedFrom: 100, position: 200 }, share: REAPPEND_SHARE, age: 0, due: false },
+  { name: 'a record in an idle stream is re-appended after a time', offset: 99, retention: RETENTION, share: REAPPEND_SHARE, age: 6 * HOUR, due: true },
+  { name: 'the fallback share is reached later in an idle stream', offset: 99, retention: RETENTION, share: FALLBACK_REAPPEND_SHARE, age: 6 * HOUR, due: false }
 ]
 
 describe('isReappendDue', () => {
-  for (const { name, offset, kept, share, age, due } of CASES) {
-    it(name, () => assert.equal(isReappendDue({ offset, seenAt: 0 }, kept, share, age), due))
+  for (const { name, offset, retention, share, age, due } of CASES) {
+    it(name, () => assert.equal(isReappendDue({ offset, seenAt: 0 }, retention, share, age), due))
   }
 })
