--- a/src/requests/runTimeBounds.ts
+++ b/src/requests/runTimeBounds.ts
@@ -1,6 +1,6 @@
 interface Bound {
   readonly milliseconds: number
-  /** Time from which the bound no longer applies; Infinity for the value in force. */
+  /** Infinity for the value in force. */
   readonly until: number
 }
 
@@ -13,8 +13,8 @@
 
   /** Stores the value in force for a pool and returns the greatest value that may still apply. */
   update (pool: string, inForce: number, now: number): number {
-    const applicable = (this.bounds.get(pool) ?? []).filter(bound => bound.until > now)
-    const updated = applicable.map(bound => bound.until === Infinity && bound.milliseconds !== inForce
+    const kept = (this.bounds.get(pool) ?? []).filter(bound => bound.until > now)
+    const updated = kept.map(bound => bound.until === Infinity && bound.milliseconds !== inForce
       ? { milliseconds: bound.milliseconds, until: now + this.grantLifetimeMilliseconds + bound.milliseconds }
       : bound)
     if (!updated.some(bound => bound.until === Infinity)) updated.push({ milliseconds: inForce, until: Infinity })
