--- a/src/requests/runTimeBounds.ts
+++ b/src/requests/runTimeBounds.ts
@@ -8,14 +8,14 @@
 export class RunTimeBounds {
   private readonly bounds = new Map<string, Bound[]>()
 
-  /** @param grantLifetimeMilliseconds Time during which an instance may still send requests under the previous values. */
-  constructor (private readonly grantLifetimeMilliseconds: number) {}
+  /** @param grantEndMilliseconds Time after which an instance can no longer send requests under the previous values. */
+  constructor (private readonly grantEndMilliseconds: number) {}
 
   /** Stores the value in force for a pool and returns the greatest value that may still apply. */
   update (pool: string, inForce: number, now: number): number {
     const kept = (this.bounds.get(pool) ?? []).filter(bound => bound.until > now)
     const updated = kept.map(bound => bound.until === Infinity && bound.milliseconds !== inForce
-      ? { milliseconds: bound.milliseconds, until: now + this.grantLifetimeMilliseconds + bound.milliseconds }
+      ? { milliseconds: bound.milliseconds, until: now + this.grantEndMilliseconds + bound.milliseconds }
       : bound)
     if (!updated.some(bound => bound.until === Infinity)) updated.push({ milliseconds: inForce, until: Infinity })
     this.bounds.set(pool, updated)
