--- a/bench/requestSimulation.ts
+++ b/bench/requestSimulation.ts
@@ -6,7 +6,7 @@
 import type { Urgency } from '../src/contracts/siteText.js'
 import { ejectOutlier, Executor } from '../src/machines/executor.js'
 import type { ExecutorChooser } from '../src/requests/executorChooser.js'
-import { PoolDispatcher, type DispatchableRequest, type SlotView } from '../src/requests/poolDispatcher.js'
+import { PoolDispatcher, type DispatchableRequest, type SlotSource } from '../src/requests/poolDispatcher.js'
 import { GRANT_VALID_MILLISECONDS, SlotAllocator, type HolderGrants } from '../src/requests/slotAllocator.js'
 import { SlotHolder } from '../src/requests/slotHolder.js'
 
@@ -57,7 +57,7 @@
   readonly executors: Executor[]
   readonly dispatcher: PoolDispatcher<SimulatedRequest>
   readonly holder: SlotHolder
-  readonly slots: SlotView & { release (executor: string): void }
+  readonly slots: SlotSource & { release (executor: string): void }
 }
 
 const SLOTS = 8
@@ -154,8 +154,8 @@
   private dispatch (instance: SimulatedInstance): void {
     for (let next = instance.dispatcher.next(this.now); next !== undefined; next = instance.dispatcher.next(this.now)) this.start(instance, next.request, next.executor)
     if (this.options.sharing !== 'grants') return
-    const mayAsk = instance.dispatcher.length > 0 && instance.holder.mayAsk(instance.dispatcher.urgentWaits, this.now)
-    if (mayAsk || instance.holder.hasSlotsToGiveUp) this.report(instance)
+    const mayAsk = instance.dispatcher.length > 0 && instance.holder.isDemandReportDue(instance.dispatcher.hasUrgentWaiting, this.now)
+    if (mayAsk || instance.holder.hasSlotsToRelease) this.report(instance)
   }
 
   private start (instance: SimulatedInstance, request: SimulatedRequest, executor: Executor): void {
@@ -210,7 +210,7 @@
   private report (instance: SimulatedInstance): void {
     const { sequence, uses } = instance.holder.startReport(this.now)
     const inFlight = uses.reduce((sum, use) => sum + use.inFlight, 0)
-    const report = { type: 'slotReport' as const, logicalTime: 1, term: 1, sequence, appliedGrant: instance.holder.appliedSequence, demand: { [POOL]: instance.dispatcher.weightedWaiting + inFlight }, uses, leaving: false }
+    const report = { type: 'slotReport' as const, logicalTime: 1, term: 1, sequence, appliedGrant: instance.holder.appliedSequence, demand: { [POOL]: instance.dispatcher.weightedQueueLength + inFlight }, uses, leaving: false }
     this.transmit({ ...report, uses: encodeUses(uses) }, () => {
       for (const decision of this.allocator.onReport(instance.name, report, this.now)) this.sendGrants(decision)
     })
@@ -250,7 +250,7 @@
 }
 
 /** Slots that do not move. */
-class FixedSlots implements SlotView {
+class FixedSlots implements SlotSource {
   private readonly used = new Map<string, number>()
 
   constructor (private readonly slots: readonly number[]) {}
--- a/src/entry/ownershipTask.ts
+++ b/src/entry/ownershipTask.ts
@@ -8,7 +8,7 @@
 import type { LinkTransport } from '../links/linkHub.js'
 import type { PeerIdentity } from '../links/handshake.js'
 import type { Membership } from '../machines/membership.js'
-import { holderKey, Ownership, OWNERSHIP_TIMINGS, type Holder, type OwnershipAction } from '../zones/ownership.js'
+import { instanceKey, Ownership, OWNERSHIP_TIMINGS, type InstanceIdentity, type OwnershipAction } from '../zones/ownership.js'
 import { monotonicNow, type EntryContext } from './entryContext.js'
 
 type OwnershipMessage =
@@ -70,7 +70,7 @@
     return this.rules.term
   }
 
-  get owner (): Holder | undefined {
+  get owner (): InstanceIdentity | undefined {
     return this.rules.currentOwner
   }
 
@@ -135,7 +135,7 @@
       this.join()
       return
     }
-    const view = { isGone: (holder: Holder) => this.isGone(holder, now), logCurrentAt: this.logCurrentAt }
+    const view = { isGone: (holder: InstanceIdentity) => this.isGone(holder, now), logCurrentAt: this.logCurrentAt }
     for (const action of this.rules.tick(now, view)) this.perform(action)
   }
 
@@ -192,13 +192,13 @@
 
   private onPromiseRequest (from: PeerIdentity, message: LinkMessageOf<'promiseRequest'>, now: number): void {
     const owner = this.rules.currentOwner
-    const fromOwner = owner !== undefined && holderKey(owner) === holderKey(from)
+    const fromOwner = owner !== undefined && instanceKey(owner) === instanceKey(from)
     const granted = fromOwner && message.failureDomain === this.context.settings.failureDomain && this.rules.onPromiseRequest(message.term, message.durationMilliseconds, now)
     this.links.send(from.instance, { type: 'promise', logicalTime: this.context.events.clock.tick(), failureDomain: message.failureDomain, term: message.term, request: message.request, granted })
   }
 
-  private isGone (holder: Holder, now: number): boolean {
-    if (this.links.peers().some(peer => holderKey(peer) === holderKey(holder))) return false
+  private isGone (holder: InstanceIdentity, now: number): boolean {
+    if (this.links.peers().some(peer => instanceKey(peer) === instanceKey(holder))) return false
     return this.membership.ageMilliseconds(now) < LIST_FRESHNESS_MILLISECONDS && this.membership.find(holder.instance) === undefined
   }
 
@@ -215,5 +215,5 @@
 
 /** Time from a takeover until tasks that an earlier owner may have started on silent workers have certainly ended, in milliseconds. */
 export function silentWorkerBoundMilliseconds (taskLeaseMilliseconds: number, marginMilliseconds: number): number {
-  return OWNERSHIP_TIMINGS.lease + OWNERSHIP_TIMINGS.driftMargin + taskLeaseMilliseconds + marginMilliseconds
+  return OWNERSHIP_TIMINGS.leaseDuration + OWNERSHIP_TIMINGS.driftMargin + taskLeaseMilliseconds + marginMilliseconds
 }
--- a/src/entry/requestDispatcher.ts
+++ b/src/entry/requestDispatcher.ts
@@ -74,7 +74,7 @@
     }))
     this.register(client.onDidChangeConnections(({ address, open }) => {
       for (const executor of this.executors.values()) {
-        if (executor.address === address) this.slots.noteConnections(executor.name, open)
+        if (executor.address === address) this.slots.setOpenConnections(executor.name, open)
       }
     }))
   }
@@ -93,7 +93,7 @@
 
   /** Whether an urgent request waits for a slot. */
   get hasUrgentWaiting (): boolean {
-    return [...this.pools.values()].some(pool => pool.urgentWaits)
+    return [...this.pools.values()].some(pool => pool.hasUrgentWaiting)
   }
 
   /** Whether the instance is stopping, so that new requests are refused. */
@@ -111,7 +111,7 @@
   /** Demand by executor pool for the division of slots: waiting requests, weighted by urgency, plus requests in flight. */
   demand (): Record<string, number> {
     const demand: Record<string, number> = {}
-    for (const [name, pool] of this.pools) demand[name] = pool.weightedWaiting
+    for (const [name, pool] of this.pools) demand[name] = pool.weightedQueueLength
     for (const executor of this.executors.values()) demand[executor.pool] = (demand[executor.pool] ?? 0) + this.slots.inFlight(executor.name)
     return demand
   }
--- a/src/entry/slotTask.ts
+++ b/src/entry/slotTask.ts
@@ -6,11 +6,11 @@
 import type { LinkTransport } from '../links/linkHub.js'
 import type { PeerIdentity } from '../links/handshake.js'
 import type { Membership } from '../machines/membership.js'
-import { RunBounds } from '../requests/runBounds.js'
+import { RunTimeBounds } from '../requests/runTimeBounds.js'
 import { GRANT_DRIFT_MARGIN_MILLISECONDS, GRANT_VALID_MILLISECONDS, SlotAllocator, type HolderGrants } from '../requests/slotAllocator.js'
 import type { ExecutorLimits } from '../requests/slotCommitments.js'
 import { SlotHolder } from '../requests/slotHolder.js'
-import { holderKey } from '../zones/ownership.js'
+import { instanceKey } from '../zones/ownership.js'
 import type { ConfigurationTask } from './configurationTask.js'
 import { monotonicNow, type EntryContext } from './entryContext.js'
 import type { OwnershipTask } from './ownershipTask.js'
@@ -34,7 +34,7 @@
   private allocatorTerm = 0
   private lastTerm: number | undefined
   private leaving = false
-  private readonly runBounds = new RunBounds(GRANT_VALID_MILLISECONDS + GRANT_DRIFT_MARGIN_MILLISECONDS)
+  private readonly runBounds = new RunTimeBounds(GRANT_VALID_MILLISECONDS + GRANT_DRIFT_MARGIN_MILLISECONDS)
   private readonly instanceOfHolder = new Map<string, string>()
   private readonly didChange = new Emitter<void>()
   /** Fires when grants have been applied. */
@@ -58,19 +58,19 @@
     }))
     // Instances that are not owner note lowered run times, too, for the case that they become owner.
     this.register(configuration.onDidChangeRevision(({ text }) => {
-      for (const pool of Object.keys(text.executorPools)) this.runBounds.longest(pool, longestRun(text, pool), monotonicNow())
+      for (const pool of Object.keys(text.executorPools)) this.runBounds.update(pool, longestRun(text, pool), monotonicNow())
     }))
     this.registerInterval(() => this.post({ kind: 'tick' }), REPORT_PERIOD_MILLISECONDS)
   }
 
   /** Asks for slots before the next regular report, because requests wait. */
   requestSlots (): void {
-    if (this.holder.mayAsk(this.urgentWaits(), monotonicNow())) this.post({ kind: 'reportNow' })
+    if (this.holder.isDemandReportDue(this.urgentWaits(), monotonicNow())) this.post({ kind: 'reportNow' })
   }
 
   /** Tells the owner at once when a slot has become free that it wants to grant to another instance. */
   reportFreedSlots (): void {
-    if (this.holder.hasSlotsToGiveUp) this.post({ kind: 'reportNow' })
+    if (this.holder.hasSlotsToRelease) this.post({ kind: 'reportNow' })
   }
 
   /** On a planned stop, once no request waits: gives all grants back and reports that at once. */
@@ -93,7 +93,7 @@
         if (message.isOwner) this.prepareAllocator()
         return
       case 'report':
-        this.onReport(message.from.instance, holderKey(message.from), message.report)
+        this.onReport(message.from.instance, instanceKey(message.from), message.report)
         return
       case 'grants':
         if (message.from === this.ownership.owner?.instance) this.applyGrants(message.grants)
@@ -130,7 +130,7 @@
       leaving: this.leaving
     }
     if (owner.instance !== this.context.settings.instance) this.links.send(owner.instance, report)
-    else this.onReport(owner.instance, holderKey(owner), report)
+    else this.onReport(owner.instance, instanceKey(owner), report)
   }
 
   private onReport (instance: string, holder: string, report: LinkMessageOf<'slotReport'>): void {
@@ -183,9 +183,9 @@
 }
 
 /** Limits of the executors of a failure domain. */
-export function executorLimits (text: SiteText, membership: Membership, failureDomain: string, runBounds: RunBounds, now: number): ExecutorLimits[] {
+export function executorLimits (text: SiteText, membership: Membership, failureDomain: string, runBounds: RunTimeBounds, now: number): ExecutorLimits[] {
   const limits: ExecutorLimits[] = []
-  const longest = new Map(Object.keys(text.executorPools).map(pool => [pool, runBounds.longest(pool, longestRun(text, pool), now)]))
+  const longest = new Map(Object.keys(text.executorPools).map(pool => [pool, runBounds.update(pool, longestRun(text, pool), now)]))
   for (const executor of membership.executors(failureDomain)) {
     const pool = text.executorPools[executor.pool]
     if (pool === undefined) continue
