--- a/src/cluster/actingScheduler.ts
+++ b/src/cluster/actingScheduler.ts
@@ -61,7 +61,7 @@
 }
 
 /** Acts as the scheduler during one term: follows submissions, places tasks, records progress, and orders workers. */
-export class ActingScheduler extends DisposableObject implements SchedulerObserver {
+export class ActiveScheduler extends DisposableObject implements SchedulerObserver {
   private readonly scheduler: ClusterScheduler
   private readonly writer: ProgressWriter
   private readonly desk: EligibilityDesk
--- a/src/cluster/clusterInstance.ts
+++ b/src/cluster/clusterInstance.ts
@@ -5,7 +5,7 @@
 import type { ClusterConfiguration } from '../contracts/clusterConfiguration.js'
 import { decodeRecord, encodeRecord, type LeadershipRecord } from '../contracts/clusterRecords.js'
 import type { ClusterSettings } from '../contracts/clusterSettings.js'
-import { ActingScheduler, type StateAnswer } from './actingScheduler.js'
+import { ActiveScheduler, type StateAnswer } from './actingScheduler.js'
 import type { ClusterMetrics } from './clusterMetrics.js'
 import { InstanceLinks } from './instanceLinks.js'
 import { JobFront, type SchedulerQuestions } from './jobFront.js'
@@ -58,7 +58,7 @@
   private readonly workerEntries = new Map<string, WorkerEntry>()
   private readonly links: InstanceLinks
   private configurationInForce: ClusterConfiguration | undefined
-  private acting: ActingScheduler | undefined
+  private acting: ActiveScheduler | undefined
   private isClaiming = false
   /** When this instance stops acting although nobody has shut it out; set when another instance claims the role. */
   private actingEndsAt: number | undefined
@@ -321,7 +321,7 @@
     const term = this.leadership.current?.term
     if (term === undefined || this.configurationInForce === undefined) return
     this.actingEndsAt = undefined
-    const acting = new ActingScheduler(this.log, this.workers, {
+    const acting = new ActiveScheduler(this.log, this.workers, {
       term,
       bounds: this.settings.bounds,
       renewedAt: () => this.renewedAt,
@@ -334,7 +334,7 @@
     acting.takeOver(this.configurationInForce, this.workerEntries.values())
   }
 
-  private onDeposed (acting: ActingScheduler): void {
+  private onDeposed (acting: ActiveScheduler): void {
     if (this.acting !== acting) return
     this.leadership.onDeposed()
     this.stopActing('a later term is in force')
--- a/test/cluster/actingScheduler.test.ts
+++ b/test/cluster/actingScheduler.test.ts
@@ -3,7 +3,7 @@
 import FakeTimers from '@sinonjs/fake-timers'
 import { Logger } from '../../src/base/logger.js'
 import { Random } from '../../src/base/random.js'
-import { ActingScheduler } from '../../src/cluster/actingScheduler.js'
+import { ActiveScheduler } from '../../src/cluster/actingScheduler.js'
 import { ClusterMetrics } from '../../src/cluster/clusterMetrics.js'
 import type { EligibilityLine } from '../../src/cluster/eligibilityDesk.js'
 import { TOPICS } from '../../src/cluster/recordLog.js'
@@ -44,12 +44,12 @@
 }
 
 /** Runs a body with a paused clock; disposes what it made. */
-async function withSite (body: (site: Site, act: (term: number) => ActingScheduler) => Promise<void>): Promise<void> {
+async function withSite (body: (site: Site, act: (term: number) => ActiveScheduler) => Promise<void>): Promise<void> {
   const clock = FakeTimers.install({ now: 1_000_000 })
   const site: Site = { clock, log: new FakeRecordLog(), port: new FakeWorkerPort(), deposed: 0, renewedAt: 0 }
-  const acting: ActingScheduler[] = []
-  const act = (term: number): ActingScheduler => {
-    const scheduler = new ActingScheduler(site.log, site.port, {
+  const acting: ActiveScheduler[] = []
+  const act = (term: number): ActiveScheduler => {
+    const scheduler = new ActiveScheduler(site.log, site.port, {
       term, bounds: BOUNDS, renewedAt: () => site.renewedAt === 0 ? performance.now() : site.renewedAt, lines: () => [ALL_ELIGIBLE], onDeposed: () => { site.deposed += 1 }
     }, new ClusterMetrics(), new Logger('test', 'error', () => {}), new Random(1), () => performance.now())
     acting.push(scheduler)
--- a/test/fakes/fakeCluster.ts
+++ b/test/fakes/fakeCluster.ts
@@ -1,6 +1,6 @@
 import { Logger } from '../../src/base/logger.js'
 import { Random } from '../../src/base/random.js'
-import { ActingScheduler } from '../../src/cluster/actingScheduler.js'
+import { ActiveScheduler } from '../../src/cluster/actingScheduler.js'
 import { ClusterMetrics } from '../../src/cluster/clusterMetrics.js'
 import { RecordLog, TOPICS, type AppendOptions, type AppendOutcome, type KeyedRecord, type ReadOutcome, type SnapshotOutcome } from '../../src/cluster/recordLog.js'
 import { cancelKey, SUBMISSION_PARTITIONS } from '../../src/cluster/submissions.js'
@@ -198,7 +198,7 @@
   readonly process: SimulatedProcess
   readonly term: number
   readonly log: Path
-  readonly acting: ActingScheduler
+  readonly acting: ActiveScheduler
   pathTo (worker: string): Path
   renewedAt: number
   supersededAt: number
@@ -267,7 +267,7 @@
     log.fault = logFault
     const scheduler: StartedScheduler = { process, term, log, pathTo, renewedAt: now, supersededAt: Infinity, isDeposed: false, acting: undefined as never }
     process.run(() => {
-      const acting = new ActingScheduler(new LogOverPath(this.log, log), new WorkersOverPaths(this.workers, pathTo), {
+      const acting = new ActiveScheduler(new LogOverPath(this.log, log), new WorkersOverPaths(this.workers, pathTo), {
         term,
         bounds: BOUNDS,
         renewedAt: () => scheduler.renewedAt,
