--- a/src/cluster/actingScheduler.ts
+++ b/src/cluster/actingScheduler.ts
@@ -36,7 +36,7 @@
 /** Answer to a question about a job. `unsure`: the job may exist without being known here yet. */
 export type StateAnswer = JobState | 'unknown' | 'unsure'
 
-export interface ActingSchedulerOptions {
+export interface ActiveSchedulerOptions {
   readonly term: number
   readonly bounds: ClusterBounds
   /** Time of the last renewal of the role that the log has stored, in milliseconds of the monotonic clock. */
@@ -85,7 +85,7 @@
   constructor (
     private readonly log: RecordLog,
     workers: WorkerPort,
-    private readonly options: ActingSchedulerOptions,
+    private readonly options: ActiveSchedulerOptions,
     private readonly metrics: ClusterMetrics,
     private readonly logger: Logger,
     random: Random,
