--- a/src/cluster/actingScheduler.ts
+++ b/src/cluster/actingScheduler.ts
@@ -44,7 +44,7 @@
   /** Lines to the eligibility service of all instances that can be reached. */
   readonly lines: () => readonly EligibilityLine[]
   /** The role has passed to another instance. */
-  readonly onDeposed: () => void
+  readonly onSuperseded: () => void
 }
 
 /** Submissions that one read has given. `storedAfter`: a time that precedes their storing, in milliseconds of the monotonic clock; undefined if none is known. */
@@ -100,7 +100,7 @@
       leaseMilliseconds: options.bounds.workerLeaseMilliseconds,
       renewedAt: options.renewedAt,
       onDidChange: () => this.trigger(),
-      onDeposed: options.onDeposed
+      onDeposed: options.onSuperseded
     }, metrics, logger, now))
     this.retention = this.register(new JobRetention(log, logger))
     this.desk = new EligibilityDesk(this.scheduler, options.lines, answer => this.onEligibilityAnswer(answer), now)
@@ -226,7 +226,7 @@
   /** Resolves with false if the role is lost. */
   private async shutOutFormerSchedulers (): Promise<boolean> {
     const fenced = await this.writer.fence()
-    if (fenced === 'fenced') this.options.onDeposed()
+    if (fenced === 'fenced') this.options.onSuperseded()
     return fenced === 'stored'
   }
 
@@ -347,7 +347,7 @@
     const outcome = await this.writer.write([...records, ...evicted.map(key => ({ key }))])
     if (this.isDisposed || outcome === 'disposed') return
     if (outcome === 'fenced') {
-      this.options.onDeposed()
+      this.options.onSuperseded()
       return
     }
     if (outcome === 'behind') {
--- a/src/cluster/clusterInstance.ts
+++ b/src/cluster/clusterInstance.ts
@@ -326,7 +326,7 @@
       bounds: this.settings.bounds,
       renewedAt: () => this.renewedAt,
       lines: () => this.links.eligibilityLines(),
-      onDeposed: () => this.onDeposed(acting)
+      onSuperseded: () => this.onDeposed(acting)
     }, this.metrics, this.logger, this.random, this.now)
     this.acting = acting
     this.handOverNotBefore = this.now() + HANDOVER_PAUSE_MILLISECONDS
--- a/test/fakes/fakeCluster.ts
+++ b/test/fakes/fakeCluster.ts
@@ -272,7 +272,7 @@
         bounds: BOUNDS,
         renewedAt: () => scheduler.renewedAt,
         lines: () => [],
-        onDeposed: () => {
+        onSuperseded: () => {
           scheduler.isDeposed = true
           acting.dispose()
         }
