--- a/src/cluster/actingScheduler.ts
+++ b/src/cluster/actingScheduler.ts
@@ -42,7 +42,7 @@
   /** Time of the last renewal of the role that the log has stored, in milliseconds of the monotonic clock. */
   readonly renewedAt: () => number
   /** Lines to the eligibility service of all instances that can be reached. */
-  readonly lines: () => readonly EligibilityLine[]
+  readonly eligibilityChannels: () => readonly EligibilityLine[]
   /** The role has passed to another instance. */
   readonly onSuperseded: () => void
 }
@@ -103,7 +103,7 @@
       onDeposed: options.onSuperseded
     }, metrics, logger, now))
     this.retention = this.register(new JobRetention(log, logger))
-    this.desk = new EligibilityDesk(this.scheduler, options.lines, answer => this.onEligibilityAnswer(answer), now)
+    this.desk = new EligibilityDesk(this.scheduler, options.eligibilityChannels, answer => this.onEligibilityAnswer(answer), now)
     this.submissions = Array.from({ length: SUBMISSION_PARTITIONS }, (_, partition) => this.register(new TopicFollower(
       log,
       { topic: TOPICS.submissions, partition, waitMilliseconds: SUBMISSION_WAIT_MILLISECONDS, periodMilliseconds: () => SUBMISSION_PERIOD_MILLISECONDS },
--- a/src/cluster/clusterInstance.ts
+++ b/src/cluster/clusterInstance.ts
@@ -325,7 +325,7 @@
       term,
       bounds: this.settings.bounds,
       renewedAt: () => this.renewedAt,
-      lines: () => this.links.eligibilityLines(),
+      eligibilityChannels: () => this.links.eligibilityLines(),
       onSuperseded: () => this.onDeposed(acting)
     }, this.metrics, this.logger, this.random, this.now)
     this.acting = acting
--- a/test/cluster/actingScheduler.test.ts
+++ b/test/cluster/actingScheduler.test.ts
@@ -50,7 +50,7 @@
   const acting: ActiveScheduler[] = []
   const act = (term: number): ActiveScheduler => {
     const scheduler = new ActiveScheduler(site.log, site.port, {
-      term, bounds: BOUNDS, renewedAt: () => site.renewedAt === 0 ? performance.now() : site.renewedAt, lines: () => [ALL_ELIGIBLE], onSuperseded: () => { site.deposed += 1 }
+      term, bounds: BOUNDS, renewedAt: () => site.renewedAt === 0 ? performance.now() : site.renewedAt, eligibilityChannels: () => [ALL_ELIGIBLE], onSuperseded: () => { site.deposed += 1 }
     }, new ClusterMetrics(), new Logger('test', 'error', () => {}), new Random(1), () => performance.now())
     acting.push(scheduler)
     scheduler.takeOver(CONFIGURATION, [...site.port.workers.values()].map(worker => worker.entry))
--- a/test/fakes/fakeCluster.ts
+++ b/test/fakes/fakeCluster.ts
@@ -271,7 +271,7 @@
         term,
         bounds: BOUNDS,
         renewedAt: () => scheduler.renewedAt,
-        lines: () => [],
+        eligibilityChannels: () => [],
         onSuperseded: () => {
           scheduler.isDeposed = true
           acting.dispose()
