--- a/src/cluster/actingScheduler.ts
+++ b/src/cluster/actingScheduler.ts
@@ -34,7 +34,7 @@
 const FRESH_MILLISECONDS = 2 * SUBMISSION_WAIT_MILLISECONDS + 500
 
 /** Answer to a question about a job. `unsure`: the job may exist without being known here yet. */
-export type StateAnswer = JobState | 'unknown' | 'unsure'
+export type JobStateResult = JobState | 'unknown' | 'unsure'
 
 export interface ActiveSchedulerOptions {
   readonly term: number
@@ -161,7 +161,7 @@
   }
 
   /** State of a job for callers. */
-  stateOf (identity: string): StateAnswer {
+  stateOf (identity: string): JobStateResult {
     if (!this.isOperating) return 'unsure'
     const job = this.scheduler.jobs.get(identity)
     if (job !== undefined) return job.shownState
--- a/src/cluster/clusterInstance.ts
+++ b/src/cluster/clusterInstance.ts
@@ -5,7 +5,7 @@
 import type { ClusterConfiguration } from '../contracts/clusterConfiguration.js'
 import { decodeRecord, encodeRecord, type LeadershipRecord } from '../contracts/clusterRecords.js'
 import type { ClusterSettings } from '../contracts/clusterSettings.js'
-import { ActiveScheduler, type StateAnswer } from './actingScheduler.js'
+import { ActiveScheduler, type JobStateResult } from './actingScheduler.js'
 import type { ClusterMetrics } from './clusterMetrics.js'
 import { InstanceLinks } from './instanceLinks.js'
 import { JobFront, type SchedulerQuestions } from './jobFront.js'
@@ -148,10 +148,10 @@
     await this.resign(this.links.pickSuccessor(), 'the instance stops')
   }
 
-  async stateOf (job: string, timeoutMilliseconds: number): Promise<StateAnswer | undefined> {
+  async stateOf (job: string, timeoutMilliseconds: number): Promise<JobStateResult | undefined> {
     if (this.acting !== undefined) return this.acting.stateOf(job)
     const reply = await this.links.askHolder({ type: 'stateQuestion', job }, timeoutMilliseconds)
-    return reply?.type === 'stateReply' ? reply.state as StateAnswer : undefined
+    return reply?.type === 'stateReply' ? reply.state as JobStateResult : undefined
   }
 
   async waitingOf (queue: string, timeoutMilliseconds: number): Promise<number | undefined> {
--- a/src/cluster/jobFront.ts
+++ b/src/cluster/jobFront.ts
@@ -5,7 +5,7 @@
 import type { Queue, QueuePolicy } from '../contracts/clusterConfiguration.js'
 import { encodeRecord } from '../contracts/clusterRecords.js'
 import { isFinalState, type JobState, type StepJob } from '../contracts/stepJob.js'
-import type { StateAnswer } from './actingScheduler.js'
+import type { JobStateResult } from './actingScheduler.js'
 import type { RecordLog } from './recordLog.js'
 import { SubmissionAppender } from './submissionAppender.js'
 import { cancelKey, SUBMISSION_PARTITIONS } from './submissions.js'
@@ -33,7 +33,7 @@
 
 /** Questions that only the acting scheduler can answer; undefined if it cannot be reached. */
 export interface SchedulerQuestions {
-  stateOf (job: string, timeoutMilliseconds: number): Promise<StateAnswer | undefined>
+  stateOf (job: string, timeoutMilliseconds: number): Promise<JobStateResult | undefined>
   waitingOf (queue: string, timeoutMilliseconds: number): Promise<number | undefined>
 }
 
