--- a/src/cluster/clusterInstance.ts
+++ b/src/cluster/clusterInstance.ts
@@ -94,7 +94,7 @@
     this.front = this.register(new JobFront(log, this, logger, random, now))
     this.links = this.register(new InstanceLinks({ instance: settings.instance, incarnation: this.incarnation, processorShare: settings.processorShare, linkMegabits: settings.linkMegabits }, eligibility, {
       stateOf: job => this.acting?.stateOf(job),
-      waitingOf: queue => this.acting?.waitingOf(queue),
+      waitingOf: queue => this.acting?.countWaitingJobs(queue),
       onRoleOffer: incarnation => this.onRoleOffer(incarnation),
       onHolderEnded: incarnation => this.leadership.onHolderEnded(incarnation, this.now())
     }, logger, random, now))
@@ -155,7 +155,7 @@
   }
 
   async waitingOf (queue: string, timeoutMilliseconds: number): Promise<number | undefined> {
-    if (this.acting !== undefined) return this.acting.waitingOf(queue)
+    if (this.acting !== undefined) return this.acting.countWaitingJobs(queue)
     const reply = await this.links.askHolder({ type: 'waitingQuestion', queue }, timeoutMilliseconds)
     return reply?.type === 'waitingReply' && reply.waiting >= 0 ? reply.waiting : undefined
   }
--- a/test/cluster/actingScheduler.test.ts
+++ b/test/cluster/actingScheduler.test.ts
@@ -204,7 +204,7 @@
       worker.isReachable = isWorkerSilent !== true
       const successor = act(2)
       await site.clock.tickAsync(1000)
-      assert.equal(successor.waitingOf('queue'), waiting)
+      assert.equal(successor.countWaitingJobs('queue'), waiting)
       assert.equal(successor.stateOf(JOB), state)
     }))
   }
@@ -499,13 +499,13 @@
     const scheduler = act(1)
     submit(site.log, JOB, [step()])
     await site.clock.tickAsync(1000)
-    assert.equal(scheduler.waitingOf('queue'), 1)
+    assert.equal(scheduler.countWaitingJobs('queue'), 1)
     site.log.fault = 'silent'
     await site.clock.tickAsync(6000)
-    assert.equal(scheduler.waitingOf('queue'), undefined)
+    assert.equal(scheduler.countWaitingJobs('queue'), undefined)
     site.log.fault = 'none'
     await site.clock.tickAsync(6000)
-    assert.equal(scheduler.waitingOf('queue'), 1)
+    assert.equal(scheduler.countWaitingJobs('queue'), 1)
   }))
 
   /** The reads of an idle topic wait: what was stored before the last answered read is up to two waits old. */
@@ -515,7 +515,7 @@
     for (let time = 0; time < 10_000; time += 50) {
       await site.clock.tickAsync(50)
       assert.equal(scheduler.stateOf(JOB), 'unknown', `after ${time} ms`)
-      assert.equal(scheduler.waitingOf('queue'), 0, `after ${time} ms`)
+      assert.equal(scheduler.countWaitingJobs('queue'), 0, `after ${time} ms`)
     }
   }))
 
