--- a/src/cluster/actingScheduler.ts
+++ b/src/cluster/actingScheduler.ts
@@ -177,7 +177,7 @@
   }
 
   /** Numbers for metrics. */
-  get figures (): { jobs: number, openSteps: number, workers: number, unrecordedEnds: number } {
+  get counts (): { jobs: number, openSteps: number, workers: number, unrecordedEnds: number } {
     return { jobs: this.scheduler.jobs.size, openSteps: this.scheduler.openSteps.size, workers: this.scheduler.workers.size, unrecordedEnds: this.unrecordedEnds }
   }
 
--- a/src/cluster/clusterInstance.ts
+++ b/src/cluster/clusterInstance.ts
@@ -106,10 +106,10 @@
     metrics.addGauge('term', 'Term of the acting scheduler as this instance knows it', () => this.leadership.current?.term ?? 0)
     metrics.addGauge('configuration_revision', 'Revision of the configuration in force here', () => this.configurationInForce?.revision ?? 0)
     metrics.addGauge('scheduling_capacity_cores', 'Work of the acting scheduler that this instance can carry', () => this.capacity)
-    metrics.addGauge('jobs', 'Jobs that the acting scheduler here keeps', () => this.acting?.figures.jobs ?? 0)
-    metrics.addGauge('open_steps', 'Steps with tasks that wait for room', () => this.acting?.figures.openSteps ?? 0)
-    metrics.addGauge('unrecorded_ends', 'Ends of runs that the acting scheduler here knows and the log does not hold', () => this.acting?.figures.unrecordedEnds ?? 0)
-    metrics.addGauge('workers', 'Workers that the acting scheduler here knows', () => this.acting?.figures.workers ?? 0)
+    metrics.addGauge('jobs', 'Jobs that the acting scheduler here keeps', () => this.acting?.counts.jobs ?? 0)
+    metrics.addGauge('open_steps', 'Steps with tasks that wait for room', () => this.acting?.counts.openSteps ?? 0)
+    metrics.addGauge('unrecorded_ends', 'Ends of runs that the acting scheduler here knows and the log does not hold', () => this.acting?.counts.unrecordedEnds ?? 0)
+    metrics.addGauge('workers', 'Workers that the acting scheduler here knows', () => this.acting?.counts.workers ?? 0)
   }
 
   /** Starts listening for links and following the log. */
@@ -343,7 +343,7 @@
   private stopActing (reason: string): void {
     this.actingEndsAt = undefined
     if (this.acting === undefined) return
-    const { unrecordedEnds } = this.acting.figures
+    const { unrecordedEnds } = this.acting.counts
     this.acting.dispose()
     this.acting = undefined
     this.logger.info('no longer acting as scheduler', { term: this.leadership.current?.term, reason, count: unrecordedEnds })
--- a/test/cluster/actingScheduler.test.ts
+++ b/test/cluster/actingScheduler.test.ts
@@ -580,10 +580,10 @@
     await site.clock.tickAsync(900)
     site.log.fault = 'silent'
     await site.clock.tickAsync(1500)
-    assert.equal(scheduler.figures.unrecordedEnds, 2)
+    assert.equal(scheduler.counts.unrecordedEnds, 2)
     site.log.fault = 'none'
     await site.clock.tickAsync(3000)
-    assert.equal(scheduler.figures.unrecordedEnds, 0)
+    assert.equal(scheduler.counts.unrecordedEnds, 0)
   }))
 
   it('completes a job without running it again whose end its former scheduler could not record', async () => await withSite(async (site, act) => {
