--- a/src/cluster/actingScheduler.ts
+++ b/src/cluster/actingScheduler.ts
@@ -177,8 +177,8 @@
   }
 
   /** Numbers for metrics. */
-  get counts (): { jobs: number, openSteps: number, workers: number, unrecordedEnds: number } {
-    return { jobs: this.scheduler.jobs.size, openSteps: this.scheduler.openSteps.size, workers: this.scheduler.workers.size, unrecordedEnds: this.unrecordedEnds }
+  get counts (): { jobs: number, readySteps: number, workers: number, unrecordedEnds: number } {
+    return { jobs: this.scheduler.jobs.size, readySteps: this.scheduler.openSteps.size, workers: this.scheduler.workers.size, unrecordedEnds: this.unrecordedEnds }
   }
 
   onDidFinish (job: Job): void {
--- a/src/cluster/clusterInstance.ts
+++ b/src/cluster/clusterInstance.ts
@@ -107,7 +107,7 @@
     metrics.addGauge('configuration_revision', 'Revision of the configuration in force here', () => this.configurationInForce?.revision ?? 0)
     metrics.addGauge('scheduling_capacity_cores', 'Work of the acting scheduler that this instance can carry', () => this.capacity)
     metrics.addGauge('jobs', 'Jobs that the acting scheduler here keeps', () => this.acting?.counts.jobs ?? 0)
-    metrics.addGauge('open_steps', 'Steps with tasks that wait for room', () => this.acting?.counts.openSteps ?? 0)
+    metrics.addGauge('open_steps', 'Steps with tasks that wait for room', () => this.acting?.counts.readySteps ?? 0)
     metrics.addGauge('unrecorded_ends', 'Ends of runs that the acting scheduler here knows and the log does not hold', () => this.acting?.counts.unrecordedEnds ?? 0)
     metrics.addGauge('workers', 'Workers that the acting scheduler here knows', () => this.acting?.counts.workers ?? 0)
   }
