--- a/bench/capacityCluster.ts
+++ b/bench/capacityCluster.ts
@@ -79,7 +79,7 @@
         const submission = createSubmission(random)
         scheduler.addJob(index.toString(16).padStart(16, '0'), index % 4 === 0 ? { ...submission, queue: URGENT_QUEUE.name } : submission, 0)
       }
-      for (const step of scheduler.openSteps) {
+      for (const step of scheduler.readySteps) {
         for (const identity of scheduler.workers.keys()) {
           step.eligibility.asked.add(identity)
           if (random.fraction() < ELIGIBLE_SHARE) step.eligibility.tickets.set(identity, { ticket: 'ticket', validUntil: Infinity })
--- a/src/cluster/actingScheduler.ts
+++ b/src/cluster/actingScheduler.ts
@@ -178,7 +178,7 @@
 
   /** Numbers for metrics. */
   get counts (): { jobs: number, readySteps: number, workers: number, unrecordedEnds: number } {
-    return { jobs: this.scheduler.jobs.size, readySteps: this.scheduler.openSteps.size, workers: this.scheduler.workers.size, unrecordedEnds: this.unrecordedEnds }
+    return { jobs: this.scheduler.jobs.size, readySteps: this.scheduler.readySteps.size, workers: this.scheduler.workers.size, unrecordedEnds: this.unrecordedEnds }
   }
 
   onDidFinish (job: Job): void {
--- a/src/cluster/clusterScheduler.ts
+++ b/src/cluster/clusterScheduler.ts
@@ -53,7 +53,7 @@
   /** Jobs whose progress has changed since it was last recorded. */
   readonly unrecorded = new Set<Job>()
   /** Steps with tasks that wait and whose earlier steps are done. */
-  readonly openSteps = new Set<Step>()
+  readonly readySteps = new Set<Step>()
   private readonly cancelledEarly = new Set<string>()
   /** Room that is kept for urgent work. */
   readonly headroom = new UrgentHeadroom()
@@ -164,7 +164,7 @@
 
   /** Chooses runs for tasks that wait. The runs have room from now on; each is to be recorded before it is ordered. */
   place (now: number): PlannedRun[] {
-    const pass = new PlacementPass([...this.openSteps], this.workers, step => this.policyOf(step.job), this.headroom, now)
+    const pass = new PlacementPass([...this.readySteps], this.workers, step => this.policyOf(step.job), this.headroom, now)
     const planned = pass.run()
     for (const { task } of planned) this.onPlaced(task, now)
     return planned
@@ -302,7 +302,7 @@
       if (step.readyAt !== undefined || step.isDone) continue
       if (!step.specification.after.every(earlier => occurrence.steps[earlier]?.isDone)) continue
       step.readyAt = now
-      if (step.waitingCount > 0) this.openSteps.add(step)
+      if (step.waitingCount > 0) this.readySteps.add(step)
     }
   }
 
@@ -325,7 +325,7 @@
   private onPlaced (task: Task, now: number): void {
     const step = task.step
     step.waitingCount -= 1
-    if (step.waitingCount === 0) this.openSteps.delete(step)
+    if (step.waitingCount === 0) this.readySteps.delete(step)
     task.progressedAt = now
     task.stopConfirmedAt = Infinity
     this.unrecorded.add(step.job)
@@ -427,7 +427,7 @@
     const ended = step.specification.gang ? step.tasks : [task]
     for (const member of ended) this.markDone(member)
     if (job.isFinal || !step.isDone) return
-    this.openSteps.delete(step)
+    this.readySteps.delete(step)
     this.openReadySteps(step.occurrence, now)
     if (!step.occurrence.isDone) return
     job.finishedOccurrences += 1
@@ -460,7 +460,7 @@
     this.unrecorded.add(job)
     for (const task of job.tasks()) this.stopRun(task)
     for (const occurrence of job.occurrences.values()) {
-      for (const step of occurrence.steps) this.openSteps.delete(step)
+      for (const step of occurrence.steps) this.readySteps.delete(step)
     }
     this.observer.onDidFinish(job)
   }
@@ -495,6 +495,6 @@
     step.waitingCount += 1
     if (step.job.isFinal) return
     this.unrecorded.add(step.job)
-    if (step.readyAt !== undefined) this.openSteps.add(step)
+    if (step.readyAt !== undefined) this.readySteps.add(step)
   }
 }
--- a/src/cluster/eligibilityDesk.ts
+++ b/src/cluster/eligibilityDesk.ts
@@ -76,7 +76,7 @@
 
   private * questions (): Generator<Question> {
     const now = this.now()
-    const steps = [...this.scheduler.openSteps]
+    const steps = [...this.scheduler.readySteps]
     sortByUrgency(steps, now)
     let ahead = 0
     for (const step of steps) {
--- a/test/cluster/clusterScheduler.test.ts
+++ b/test/cluster/clusterScheduler.test.ts
@@ -46,7 +46,7 @@
       assert.ok(job.isUrgent)
       assert.ok(job.objectiveAt > 2000, `objective at ${job.objectiveAt} ms`)
       assert.deepEqual(scheduler.place(0), [], 'was placed without a ticket')
-      const [step] = scheduler.openSteps
+      const [step] = scheduler.readySteps
       step?.eligibility.tickets.set('w1', { ticket: 'ticket', validUntil: 60_000 })
       for (const [number, state] of [[1, 'running'], [2, 'failed']] as const) {
         assert.equal(scheduler.place(0).length, 1)
