--- a/src/cluster/actingScheduler.ts
+++ b/src/cluster/actingScheduler.ts
@@ -332,14 +332,14 @@
 
   /** Records what has changed; then acknowledges the ends that it covers and orders the runs. */
   private async recordRound (planned: readonly PlannedRun[], startedAt: number): Promise<void> {
-    const jobs = [...this.scheduler.unrecorded]
+    const jobs = [...this.scheduler.unrecordedJobs]
     const evicted = this.evictedKeys.splice(0)
     if (jobs.length === 0 && evicted.length === 0) {
       this.unrecordedEnds = 0
       this.acknowledgeEnds(this.processedEnds())
       return
     }
-    this.scheduler.unrecorded.clear()
+    this.scheduler.unrecordedJobs.clear()
     const ends = this.processedEnds()
     const endCount = this.unrecordedEnds
     const states = jobs.map(job => job.state)
@@ -352,7 +352,7 @@
     }
     if (outcome === 'behind') {
       this.logger.error('the log lacks progress that was taken for recorded; all of it is written again', { term: this.options.term, count: this.scheduler.jobs.size })
-      for (const job of this.scheduler.jobs.values()) this.scheduler.unrecorded.add(job)
+      for (const job of this.scheduler.jobs.values()) this.scheduler.unrecordedJobs.add(job)
       this.unordered.push(...planned)
       this.evictedKeys.push(...evicted)
       this.trigger()
--- a/src/cluster/clusterScheduler.ts
+++ b/src/cluster/clusterScheduler.ts
@@ -51,7 +51,7 @@
   readonly jobs = new Map<string, Job>()
   readonly workers = new Map<string, WorkerState>()
   /** Jobs whose progress has changed since it was last recorded. */
-  readonly unrecorded = new Set<Job>()
+  readonly unrecordedJobs = new Set<Job>()
   /** Steps with tasks that wait and whose earlier steps are done. */
   readonly readySteps = new Set<Step>()
   private readonly cancelledEarly = new Set<string>()
@@ -328,7 +328,7 @@
     if (step.waitingCount === 0) this.readySteps.delete(step)
     task.progressedAt = now
     task.stopConfirmedAt = Infinity
-    this.unrecorded.add(step.job)
+    this.unrecordedJobs.add(step.job)
   }
 
   private onRunning (task: Task, now: number): void {
@@ -345,7 +345,7 @@
   private markStarted (job: Job): void {
     if (job.state !== 'pending') return
     job.state = 'running'
-    this.unrecorded.add(job)
+    this.unrecordedJobs.add(job)
   }
 
   private onRunningRow (worker: WorkerState, taskName: string, run: number, checkpoint: string, percent: number, now: number): void {
@@ -422,7 +422,7 @@
     worker.release(task)
     const step = task.step
     const job = step.job
-    this.unrecorded.add(job)
+    this.unrecordedJobs.add(job)
     // A gang ends together, so that the end of one member stands for all.
     const ended = step.specification.gang ? step.tasks : [task]
     for (const member of ended) this.markDone(member)
@@ -457,7 +457,7 @@
     job.state = state
     job.reason = reason
     job.finishedAt = now
-    this.unrecorded.add(job)
+    this.unrecordedJobs.add(job)
     for (const task of job.tasks()) this.stopRun(task)
     for (const occurrence of job.occurrences.values()) {
       for (const step of occurrence.steps) this.readySteps.delete(step)
@@ -494,7 +494,7 @@
     task.stopConfirmedAt = Infinity
     step.waitingCount += 1
     if (step.job.isFinal) return
-    this.unrecorded.add(step.job)
+    this.unrecordedJobs.add(step.job)
     if (step.readyAt !== undefined) this.readySteps.add(step)
   }
 }
