--- a/src/cluster/clusterScheduler.ts
+++ b/src/cluster/clusterScheduler.ts
@@ -233,7 +233,7 @@
   }
 
   /** Notes that a look has failed. */
-  onSilent (identity: string): void {
+  onPollFailed (identity: string): void {
     const worker = this.workers.get(identity)
     if (worker !== undefined) worker.isSilent = true
   }
--- a/src/cluster/workerSessions.ts
+++ b/src/cluster/workerSessions.ts
@@ -102,14 +102,14 @@
     const worker = this.scheduler.workers.get(identity)
     if (worker === undefined) return
     if (!worker.isSilent) this.logger.warn('worker does not answer', { worker: identity, reason, count: worker.runs.size })
-    this.scheduler.onSilent(identity)
+    this.scheduler.onPollFailed(identity)
   }
 
   private onEnded (identity: string): void {
     const worker = this.scheduler.workers.get(identity)
     if (worker === undefined) return
     this.logger.info('nothing can run on a worker any more', { worker: identity, count: worker.runs.size })
-    this.scheduler.onSilent(identity)
+    this.scheduler.onPollFailed(identity)
     this.scheduler.onWorkerEnded(identity)
     this.closeIfUnknown(identity)
     this.options.onDidChange()
