--- a/src/cluster/clusterScheduler.ts
+++ b/src/cluster/clusterScheduler.ts
@@ -239,7 +239,7 @@
   }
 
   /** Notes that nothing can be running on a worker any more: its process has ended, or every lease has. */
-  onWorkerEnded (identity: string): void {
+  onWorkerLost (identity: string): void {
     const worker = this.workers.get(identity)
     if (worker === undefined) return
     for (const task of [...worker.runs.values()]) this.giveUpRun(task)
--- a/src/cluster/workerSessions.ts
+++ b/src/cluster/workerSessions.ts
@@ -110,7 +110,7 @@
     if (worker === undefined) return
     this.logger.info('nothing can run on a worker any more', { worker: identity, count: worker.runs.size })
     this.scheduler.onPollFailed(identity)
-    this.scheduler.onWorkerEnded(identity)
+    this.scheduler.onWorkerLost(identity)
     this.closeIfUnknown(identity)
     this.options.onDidChange()
   }
