--- a/src/cluster/actingScheduler.ts
+++ b/src/cluster/actingScheduler.ts
@@ -170,7 +170,7 @@
 
   /** Jobs of a queue of which no task has started; undefined while that is not known. */
   countWaitingJobs (queue: string): number | undefined {
-    const count = this.isOperating && this.isFresh() ? this.scheduler.waitingJobs(queue) : undefined
+    const count = this.isOperating && this.isFresh() ? this.scheduler.countWaitingJobs(queue) : undefined
     const open = [...this.scheduler.jobs.values()].filter(job => job.submission.queue === queue && !job.isFinal).length
     this.logger.info('waiting jobs counted', { queue, count, term: this.options.term, reason: `${open} jobs of the queue are not finished; submissions were read ${Math.round(this.submissionsAge())} ms ago` })
     return count
--- a/src/cluster/clusterScheduler.ts
+++ b/src/cluster/clusterScheduler.ts
@@ -142,7 +142,7 @@
   }
 
   /** Number of jobs without recurrence of a queue of which no task has started. */
-  waitingJobs (queue: string): number {
+  countWaitingJobs (queue: string): number {
     let count = 0
     for (const job of this.jobs.values()) {
       if (job.submission.queue === queue && job.state === 'pending' && job.submission.job.occurrences === 0) count += 1
