--- a/src/cluster/clusterScheduler.ts
+++ b/src/cluster/clusterScheduler.ts
@@ -117,7 +117,7 @@
       job.finishedAt = now
     } else {
       for (const task of job.tasks()) this.adoptRestoredRun(task)
-      this.openDueOccurrences(job, now, Date.now())
+      this.openDueOccurrencesOfJob(job, now, Date.now())
       for (const occurrence of job.occurrences.values()) this.openReadySteps(occurrence, now)
     }
     if (this.cancelledEarly.delete(identity)) this.cancelJob(identity, now)
@@ -158,7 +158,7 @@
   /** Opens occurrences that are due. `unixMilliseconds` is the time of day. */
   openDue (now: number, unixMilliseconds: number): void {
     for (const job of this.jobs.values()) {
-      if (!job.isFinal && job.submission.job.occurrences > 0) this.openDueOccurrences(job, now, unixMilliseconds)
+      if (!job.isFinal && job.submission.job.occurrences > 0) this.openDueOccurrencesOfJob(job, now, unixMilliseconds)
     }
   }
 
@@ -287,7 +287,7 @@
     worker.acknowledgedEnd = 0
   }
 
-  private openDueOccurrences (job: Job, now: number, unixMilliseconds: number): void {
+  private openDueOccurrencesOfJob (job: Job, now: number, unixMilliseconds: number): void {
     const { occurrences, firstDueMilliseconds, intervalMilliseconds } = job.submission.job
     for (let index = job.occurrences.size; index < job.occurrenceCount; index += 1) {
       if (occurrences > 0 && unixMilliseconds < firstDueMilliseconds + index * intervalMilliseconds) return
