--- a/src/cluster/clusterScheduler.ts
+++ b/src/cluster/clusterScheduler.ts
@@ -156,7 +156,7 @@
   }
 
   /** Opens occurrences that are due. `unixMilliseconds` is the time of day. */
-  openDue (now: number, unixMilliseconds: number): void {
+  openDueOccurrences (now: number, unixMilliseconds: number): void {
     for (const job of this.jobs.values()) {
       if (!job.isFinal && job.submission.job.occurrences > 0) this.openDueOccurrencesOfJob(job, now, unixMilliseconds)
     }
