--- a/src/cluster/actingScheduler.ts
+++ b/src/cluster/actingScheduler.ts
@@ -280,7 +280,7 @@
     const now = this.now()
     this.scheduler.observeLoad()
     this.scheduler.openDueOccurrences(now, Date.now())
-    for (const task of this.scheduler.stopStuckRuns(now)) this.logger.warn('run makes no progress; it is stopped', { task: task.name, worker: task.worker, count: task.run, reason: `${task.percent} percent` })
+    for (const task of this.scheduler.stopStalledRuns(now)) this.logger.warn('run makes no progress; it is stopped', { task: task.name, worker: task.worker, count: task.run, reason: `${task.percent} percent` })
     this.trigger()
   }
 
--- a/src/cluster/clusterScheduler.ts
+++ b/src/cluster/clusterScheduler.ts
@@ -247,7 +247,7 @@
   }
 
   /** Runs that make no progress are stopped, to be started again elsewhere. */
-  stopStuckRuns (now: number): Task[] {
+  stopStalledRuns (now: number): Task[] {
     const stuck: Task[] = []
     for (const worker of this.workers.values()) {
       if (worker.isSilent) continue
