--- a/src/cluster/actingScheduler.ts
+++ b/src/cluster/actingScheduler.ts
@@ -285,7 +285,7 @@
   }
 
   private evict (): void {
-    this.retention.drop(this.scheduler.finishedBefore(this.now() - this.options.bounds.stateRetentionMilliseconds))
+    this.retention.drop(this.scheduler.findJobsFinishedBefore(this.now() - this.options.bounds.stateRetentionMilliseconds))
   }
 
   /** A submission has been dropped from the log. Its progress follows, because without it a copy that is left would be a new job. */
--- a/src/cluster/clusterScheduler.ts
+++ b/src/cluster/clusterScheduler.ts
@@ -267,7 +267,7 @@
   }
 
   /** Identities of jobs that finished before a time, as far as the log holds their final state. */
-  finishedBefore (time: number): string[] {
+  findJobsFinishedBefore (time: number): string[] {
     const found: string[] = []
     for (const job of this.jobs.values()) {
       if (job.isFinal && job.finishedAt < time && job.recordedState === job.state) found.push(job.identity)
