--- a/src/cluster/actingScheduler.ts
+++ b/src/cluster/actingScheduler.ts
@@ -290,7 +290,7 @@
 
   /** A submission has been dropped from the log. Its progress follows, because without it a copy that is left would be a new job. */
   private onDropped (key: string, partition: number): void {
-    if (!this.retention.onDropped(key, partition) || isCancelKey(key) || !this.scheduler.forgetFinished(key)) return
+    if (!this.retention.onDropped(key, partition) || isCancelKey(key) || !this.scheduler.removeFinishedJob(key)) return
     this.evictedKeys.push(key)
   }
 
--- a/src/cluster/clusterScheduler.ts
+++ b/src/cluster/clusterScheduler.ts
@@ -276,7 +276,7 @@
   }
 
   /** Forgets a job if it is finished; returns whether it was. */
-  forgetFinished (identity: string): boolean {
+  removeFinishedJob (identity: string): boolean {
     return this.jobs.get(identity)?.isFinal === true && this.jobs.delete(identity)
   }
 
