--- a/src/cluster/clusterScheduler.ts
+++ b/src/cluster/clusterScheduler.ts
@@ -226,7 +226,7 @@
     if (!worker.hasStrayRuns) worker.strayStops.clear()
     for (const task of [...worker.runs.values()]) {
       if (listed.has(task.name)) continue
-      if (!this.isGone(task, isFirst, sentAt)) continue
+      if (!this.isRunAbsent(task, isFirst, sentAt)) continue
       this.observer.onDidMissRun(worker, task)
       this.giveUpRun(task)
     }
@@ -390,7 +390,7 @@
   }
 
   /** Whether a run that a report does not list can no longer come to be. */
-  private isGone (task: Task, isFirstReport: boolean, sentAt: number): boolean {
+  private isRunAbsent (task: Task, isFirstReport: boolean, sentAt: number): boolean {
     if (task.phase === 'placed') return false
     if (isFirstReport && task.phase === 'uncertain') return true
     if (task.phase === 'running') return task.progressedAt < sentAt && task.startedAt < sentAt
