--- a/test/fuzz/clusterFaults.ts
+++ b/test/fuzz/clusterFaults.ts
@@ -79,7 +79,7 @@
     checks: ['RunsOnce', 'WithinRoom'],
     seed: 1,
     runs: 15,
-    plant: replace(ClusterScheduler, 'isGone', () => true)
+    plant: replace(ClusterScheduler, 'isRunAbsent', () => true)
   },
   {
     name: 'runs are given up when their worker shows a new process',
