--- a/src/cluster/actingScheduler.ts
+++ b/src/cluster/actingScheduler.ts
@@ -181,7 +181,7 @@
     return { jobs: this.scheduler.jobs.size, readySteps: this.scheduler.readySteps.size, workers: this.scheduler.workers.size, unrecordedEnds: this.unrecordedEnds }
   }
 
-  onDidFinish (job: Job): void {
+  onDidFinishJob (job: Job): void {
     this.metrics.jobFinished(job.state)
     this.logger.info('job finished', { job: job.identity, code: job.state, reason: job.reason, queue: job.submission.queue, durationMilliseconds: Math.round(this.now() - job.acceptedAt), objectiveMilliseconds: Math.round(job.objectiveAt - job.acceptedAt) })
   }
--- a/src/cluster/clusterScheduler.ts
+++ b/src/cluster/clusterScheduler.ts
@@ -18,7 +18,7 @@
 
 /** What the scheduler tells about its decisions. */
 export interface SchedulerObserver {
-  onDidFinish (job: Job): void
+  onDidFinishJob (job: Job): void
   onDidEndRun (task: Task, worker: WorkerState, kind: EndReport['kind'], durationMilliseconds: number): void
   onDidQuarantine (worker: WorkerState): void
   onDidFindStrayRun (worker: WorkerState, task: string, run: number): void
@@ -462,7 +462,7 @@
     for (const occurrence of job.occurrences.values()) {
       for (const step of occurrence.steps) this.readySteps.delete(step)
     }
-    this.observer.onDidFinish(job)
+    this.observer.onDidFinishJob(job)
   }
 
   /** Stops a run; one whose order has not been sent is given up at once. */
--- a/test/fakes/silentObserver.ts
+++ b/test/fakes/silentObserver.ts
@@ -2,7 +2,7 @@
 
 /** For decisions whose announcements are of no interest. */
 export const SILENT_OBSERVER: SchedulerObserver = {
-  onDidFinish () {},
+  onDidFinishJob () {},
   onDidEndRun () {},
   onDidQuarantine () {},
   onDidFindStrayRun () {},
