--- a/src/cluster/actingScheduler.ts
+++ b/src/cluster/actingScheduler.ts
@@ -196,7 +196,7 @@
     this.logger.warn('worker gets no work for a while; its runs have failed in a row', { worker: worker.identity })
   }
 
-  onDidFindStrayRun (worker: WorkerState, task: string, run: number): void {
+  onDidFindOrphanedRun (worker: WorkerState, task: string, run: number): void {
     this.logger.warn('a worker runs what it should not; it is told to stop', { worker: worker.identity, task, count: run })
   }
 
--- a/src/cluster/clusterScheduler.ts
+++ b/src/cluster/clusterScheduler.ts
@@ -21,7 +21,7 @@
   onDidFinishJob (job: Job): void
   onDidEndRun (task: Task, worker: WorkerState, kind: EndReport['kind'], durationMilliseconds: number): void
   onDidQuarantine (worker: WorkerState): void
-  onDidFindStrayRun (worker: WorkerState, task: string, run: number): void
+  onDidFindOrphanedRun (worker: WorkerState, task: string, run: number): void
   /** A worker does not list a run that was placed there, and it cannot come to be any more. */
   onDidMissRun (worker: WorkerState, task: Task): void
   /** An end was reported of a run that the task has no more. */
@@ -368,7 +368,7 @@
     const orderedAt = worker.strayStops.get(key)
     if (orderedAt !== undefined && now - orderedAt < STRAY_STOP_PERIOD_MILLISECONDS) return
     worker.strayStops.set(key, now)
-    this.observer.onDidFindStrayRun(worker, taskName, run)
+    this.observer.onDidFindOrphanedRun(worker, taskName, run)
     this.plannedStops.push({ worker: worker.identity, task: taskName, run })
   }
 
--- a/test/fakes/silentObserver.ts
+++ b/test/fakes/silentObserver.ts
@@ -5,7 +5,7 @@
   onDidFinishJob () {},
   onDidEndRun () {},
   onDidQuarantine () {},
-  onDidFindStrayRun () {},
+  onDidFindOrphanedRun () {},
   onDidMissRun () {},
   onDidIgnoreEnd () {}
 }
