--- a/src/cluster/actingScheduler.ts
+++ b/src/cluster/actingScheduler.ts
@@ -200,7 +200,7 @@
     this.logger.warn('a worker runs what it should not; it is told to stop', { worker: worker.identity, task, count: run })
   }
 
-  onDidMissRun (worker: WorkerState, task: Task): void {
+  onDidLoseRun (worker: WorkerState, task: Task): void {
     this.logger.info('run is not on its worker; its task waits again', { task: task.name, count: task.run, worker: worker.identity, reason: `the run was ${task.phase}` })
   }
 
--- a/src/cluster/clusterScheduler.ts
+++ b/src/cluster/clusterScheduler.ts
@@ -23,7 +23,7 @@
   onDidQuarantine (worker: WorkerState): void
   onDidFindOrphanedRun (worker: WorkerState, task: string, run: number): void
   /** A worker does not list a run that was placed there, and it cannot come to be any more. */
-  onDidMissRun (worker: WorkerState, task: Task): void
+  onDidLoseRun (worker: WorkerState, task: Task): void
   /** An end was reported of a run that the task has no more. */
   onDidIgnoreEnd (worker: WorkerState, end: EndReport, task: Task): void
 }
@@ -227,7 +227,7 @@
     for (const task of [...worker.runs.values()]) {
       if (listed.has(task.name)) continue
       if (!this.isRunAbsent(task, isFirst, sentAt)) continue
-      this.observer.onDidMissRun(worker, task)
+      this.observer.onDidLoseRun(worker, task)
       this.giveUpRun(task)
     }
   }
--- a/test/fakes/silentObserver.ts
+++ b/test/fakes/silentObserver.ts
@@ -6,6 +6,6 @@
   onDidEndRun () {},
   onDidQuarantine () {},
   onDidFindOrphanedRun () {},
-  onDidMissRun () {},
+  onDidLoseRun () {},
   onDidIgnoreEnd () {}
 }
