--- a/src/cluster/actingScheduler.ts
+++ b/src/cluster/actingScheduler.ts
@@ -204,7 +204,7 @@
     this.logger.info('run is not on its worker; its task waits again', { task: task.name, count: task.run, worker: worker.identity, reason: `the run was ${task.phase}` })
   }
 
-  onDidIgnoreEnd (worker: WorkerState, end: EndReport, task: Task): void {
+  onDidIgnoreRunEnd (worker: WorkerState, end: EndReport, task: Task): void {
     this.logger.warn('end of a run that the task has no more', { worker: worker.identity, task: task.name, count: end.run, code: end.kind, reason: `the task is ${task.phase} with run ${task.run} on ${task.worker === '' ? 'no worker' : task.worker}` })
   }
 
--- a/src/cluster/clusterScheduler.ts
+++ b/src/cluster/clusterScheduler.ts
@@ -25,7 +25,7 @@
   /** A worker does not list a run that was placed there, and it cannot come to be any more. */
   onDidLoseRun (worker: WorkerState, task: Task): void
   /** An end was reported of a run that the task has no more. */
-  onDidIgnoreEnd (worker: WorkerState, end: EndReport, task: Task): void
+  onDidIgnoreRunEnd (worker: WorkerState, end: EndReport, task: Task): void
 }
 
 /** What is known of a job beside its submission. */
@@ -401,7 +401,7 @@
     const task = worker.runs.get(end.task)
     if (task === undefined || task.run !== end.run) {
       const open = this.openTask(end.task)
-      if (open !== undefined) this.observer.onDidIgnoreEnd(worker, end, open)
+      if (open !== undefined) this.observer.onDidIgnoreRunEnd(worker, end, open)
       return
     }
     if (end.checkpoint !== '') task.checkpoint = end.checkpoint
--- a/test/fakes/silentObserver.ts
+++ b/test/fakes/silentObserver.ts
@@ -7,5 +7,5 @@
   onDidQuarantine () {},
   onDidFindOrphanedRun () {},
   onDidLoseRun () {},
-  onDidIgnoreEnd () {}
+  onDidIgnoreRunEnd () {}
 }
