--- a/src/cluster/clusterScheduler.ts
+++ b/src/cluster/clusterScheduler.ts
@@ -29,7 +29,7 @@
 }
 
 /** What is known of a job beside its submission. */
-export interface KnownOfJob {
+export interface AddJobOptions {
   /** Progress that a former scheduler has recorded. */
   readonly progress?: ProgressRecord
   /** A time that precedes the storing of its submission, in milliseconds of the monotonic clock. */
@@ -98,7 +98,7 @@
   }
 
   /** Adds a job that the log holds. A repeat is ignored. */
-  addJob (identity: string, submission: SubmissionRecord, now: number, { progress, storedAfter }: KnownOfJob = {}): Job {
+  addJob (identity: string, submission: SubmissionRecord, now: number, { progress, storedAfter }: AddJobOptions = {}): Job {
     const known = this.jobs.get(identity)
     if (known !== undefined) return known
     const job = new Job(identity, submission, now)
