--- a/src/cluster/actingScheduler.ts
+++ b/src/cluster/actingScheduler.ts
@@ -9,7 +9,7 @@
 import type { ClusterMetrics } from './clusterMetrics.js'
 import { ClusterScheduler, type PlannedStop, type SchedulerObserver } from './clusterScheduler.js'
 import { EligibilityDesk, type EligibilityAnswer, type EligibilityLine } from './eligibilityDesk.js'
-import { forgetTicket, progressOf, type Job, type Task } from './jobBook.js'
+import { discardTicket, progressOf, type Job, type Task } from './jobBook.js'
 import { JobRetention } from './jobRetention.js'
 import type { PlannedRun } from './placementPass.js'
 import { ProgressWriter } from './progressWriter.js'
@@ -405,7 +405,7 @@
         await this.settle(session, task, run)
         break
       case 'refused':
-        if (outcome.reason === 'ticket') forgetTicket(task.step, worker.identity)
+        if (outcome.reason === 'ticket') discardTicket(task.step, worker.identity)
         this.scheduler.onStartOutcome(task, run, 'notStarted', this.now())
         break
       default:
--- a/src/cluster/jobBook.ts
+++ b/src/cluster/jobBook.ts
@@ -50,7 +50,7 @@
 }
 
 /** Drops a ticket that a worker has refused. The worker may be asked about again: what it may run does not change. */
-export function forgetTicket (step: Step, worker: string): void {
+export function discardTicket (step: Step, worker: string): void {
   step.eligibility.tickets.delete(worker)
   step.eligibility.asked.delete(worker)
 }
