--- a/bench/capacityCluster.ts
+++ b/bench/capacityCluster.ts
@@ -1,7 +1,7 @@
 import { Random } from '../src/base/random.js'
 import { ClusterScheduler } from '../src/cluster/clusterScheduler.js'
 import { EligibilityDesk } from '../src/cluster/eligibilityDesk.js'
-import { progressOf } from '../src/cluster/jobBook.js'
+import { toProgressRecord } from '../src/cluster/jobBook.js'
 import { decodeRecord, encodeRecord, type ProgressRecord, type SubmissionRecord } from '../src/contracts/clusterRecords.js'
 import { stepJobSchema } from '../src/contracts/stepJob.js'
 import { SILENT_OBSERVER } from '../test/fakes/silentObserver.js'
@@ -104,7 +104,7 @@
     const former = createScheduler(workers)
     addJobs(former, jobs, random)
     former.place(0)
-    const records = [...former.jobs.values()].map(job => ({ identity: job.identity, submission: encodeRecord(job.submission), progress: encodeRecord(progressOf(job)) }))
+    const records = [...former.jobs.values()].map(job => ({ identity: job.identity, submission: encodeRecord(job.submission), progress: encodeRecord(toProgressRecord(job)) }))
     const milliseconds = medianMilliseconds(runs, () => createScheduler(workers), scheduler => {
       for (const { identity, submission, progress } of records) scheduler.addJob(identity, decodeRecord<SubmissionRecord>(submission), 0, { progress: decodeRecord<ProgressRecord>(progress) })
     })
--- a/src/cluster/actingScheduler.ts
+++ b/src/cluster/actingScheduler.ts
@@ -9,7 +9,7 @@
 import type { ClusterMetrics } from './clusterMetrics.js'
 import { ClusterScheduler, type PlannedStop, type SchedulerObserver } from './clusterScheduler.js'
 import { EligibilityDesk, type EligibilityAnswer, type EligibilityLine } from './eligibilityDesk.js'
-import { discardTicket, progressOf, type Job, type Task } from './jobBook.js'
+import { discardTicket, toProgressRecord, type Job, type Task } from './jobBook.js'
 import { JobRetention } from './jobRetention.js'
 import type { PlannedRun } from './placementPass.js'
 import { ProgressWriter } from './progressWriter.js'
@@ -343,7 +343,7 @@
     const ends = this.processedEnds()
     const endCount = this.unrecordedEnds
     const states = jobs.map(job => job.state)
-    const records = jobs.map((job): KeyedRecord => ({ key: job.identity, value: encodeRecord(progressOf(job)) }))
+    const records = jobs.map((job): KeyedRecord => ({ key: job.identity, value: encodeRecord(toProgressRecord(job)) }))
     const outcome = await this.writer.write([...records, ...evicted.map(key => ({ key }))])
     if (this.isDisposed || outcome === 'disposed') return
     if (outcome === 'fenced') {
--- a/src/cluster/jobBook.ts
+++ b/src/cluster/jobBook.ts
@@ -145,7 +145,7 @@
 }
 
 /** Progress of a job as it is recorded. */
-export function progressOf (job: Job): ProgressRecord {
+export function toProgressRecord (job: Job): ProgressRecord {
   if (job.isFinal) return job.reason === undefined ? { state: job.state, occurrences: [] } : { state: job.state, reason: job.reason, occurrences: [] }
   const occurrences = [...job.occurrences.values()].map((occurrence): OccurrenceRow => [occurrence.index, occurrence.steps.map(rowOfStep)])
   return { state: job.state, occurrences }
