--- a/bench/capacityCluster.ts
+++ b/bench/capacityCluster.ts
@@ -81,7 +81,7 @@
       }
       for (const step of scheduler.readySteps) {
         for (const identity of scheduler.workers.keys()) {
-          step.eligibility.asked.add(identity)
+          step.eligibility.requestedWorkers.add(identity)
           if (random.fraction() < ELIGIBLE_SHARE) step.eligibility.tickets.set(identity, { ticket: 'ticket', validUntil: Infinity })
         }
       }
--- a/src/cluster/eligibilityDesk.ts
+++ b/src/cluster/eligibilityDesk.ts
@@ -93,7 +93,7 @@
 
   /** Workers that are to be asked about now; undefined if the step can be placed on none of those that are known, so that it uses no room that others wait for. */
   private workersToAsk (step: Step, policy: QueuePolicy, now: number): string[] | undefined {
-    const { tickets, asked } = step.eligibility
+    const { tickets, requestedWorkers: asked } = step.eligibility
     const isSuitable = (worker: WorkerState | undefined): worker is WorkerState => worker !== undefined && worker.entry.pool === policy.pool && worker.isUsable(now) && worker.couldCarry(step.specification)
     const named = [...tickets.keys()].map(identity => this.scheduler.workers.get(identity)).filter(isSuitable)
     // Workers may have become known since the first question, above all after a change of scheduler.
@@ -122,7 +122,7 @@
     } else {
       // The service dates a ticket by its decision, which is not before the expected duration had passed.
       const validFrom = Math.min(this.now(), sentAt + question.expectedMilliseconds)
-      for (const worker of question.workers) eligibility.asked.add(worker)
+      for (const worker of question.workers) eligibility.requestedWorkers.add(worker)
       for (const { worker, ticket } of outcome.workers) eligibility.tickets.set(worker, { ticket, validUntil: validFrom + outcome.validMilliseconds })
       if (outcome.workers.length === 0) eligibility.notBefore = this.now() + RETRY_PAUSE_MILLISECONDS
     }
--- a/src/cluster/jobBook.ts
+++ b/src/cluster/jobBook.ts
@@ -43,7 +43,7 @@
   /** Workers that the service has named, with the latest ticket. The set does not change. */
   readonly tickets: Map<string, { ticket: string, validUntil: number }>
   /** Workers that the service has been asked about. */
-  readonly asked: Set<string>
+  readonly requestedWorkers: Set<string>
   asking: boolean
   /** No question before this time after a failed one, in milliseconds of the monotonic clock. */
   notBefore: number
@@ -52,12 +52,12 @@
 /** Drops a ticket that a worker has refused. The worker may be asked about again: what it may run does not change. */
 export function discardTicket (step: Step, worker: string): void {
   step.eligibility.tickets.delete(worker)
-  step.eligibility.asked.delete(worker)
+  step.eligibility.requestedWorkers.delete(worker)
 }
 
 export class Step {
   readonly tasks: Task[]
-  readonly eligibility: StepEligibility = { tickets: new Map(), asked: new Set(), asking: false, notBefore: 0 }
+  readonly eligibility: StepEligibility = { tickets: new Map(), requestedWorkers: new Set(), asking: false, notBefore: 0 }
   /** Workers whose room is kept for this gang, or undefined. */
   reservation: ReadonlySet<string> | undefined
   doneCount = 0
