--- a/src/cluster/eligibilityDesk.ts
+++ b/src/cluster/eligibilityDesk.ts
@@ -86,7 +86,7 @@
       if (workers === undefined) continue
       if (policy.priority > 0) ahead += 1
       if (ahead > ASKED_AHEAD) return
-      if (workers.length === 0 || step.eligibility.asking || now < step.eligibility.notBefore) continue
+      if (workers.length === 0 || step.eligibility.isRequestPending || now < step.eligibility.notBefore) continue
       yield { step, workers, expectedMilliseconds: policy.eligibility.decisionMilliseconds + workers.length * policy.eligibility.perWorkerMilliseconds }
     }
   }
@@ -111,12 +111,12 @@
 
   private async ask (line: EligibilityLine, question: Question): Promise<void> {
     const eligibility = question.step.eligibility
-    eligibility.asking = true
+    eligibility.isRequestPending = true
     this.busy.add(line.instance)
     const sentAt = this.now()
     const outcome = await line.ask(question.step.name, question.workers, question.expectedMilliseconds + ANSWER_SLACK_MILLISECONDS)
     this.busy.delete(line.instance)
-    eligibility.asking = false
+    eligibility.isRequestPending = false
     if (outcome.kind === 'failed') {
       eligibility.notBefore = this.now() + RETRY_PAUSE_MILLISECONDS
     } else {
--- a/src/cluster/jobBook.ts
+++ b/src/cluster/jobBook.ts
@@ -44,7 +44,7 @@
   readonly tickets: Map<string, { ticket: string, validUntil: number }>
   /** Workers that the service has been asked about. */
   readonly requestedWorkers: Set<string>
-  asking: boolean
+  isRequestPending: boolean
   /** No question before this time after a failed one, in milliseconds of the monotonic clock. */
   notBefore: number
 }
@@ -57,7 +57,7 @@
 
 export class Step {
   readonly tasks: Task[]
-  readonly eligibility: StepEligibility = { tickets: new Map(), requestedWorkers: new Set(), asking: false, notBefore: 0 }
+  readonly eligibility: StepEligibility = { tickets: new Map(), requestedWorkers: new Set(), isRequestPending: false, notBefore: 0 }
   /** Workers whose room is kept for this gang, or undefined. */
   reservation: ReadonlySet<string> | undefined
   doneCount = 0
