--- a/src/cluster/eligibilityDesk.ts
+++ b/src/cluster/eligibilityDesk.ts
@@ -86,7 +86,7 @@
       if (workers === undefined) continue
       if (policy.priority > 0) ahead += 1
       if (ahead > ASKED_AHEAD) return
-      if (workers.length === 0 || step.eligibility.isRequestPending || now < step.eligibility.notBefore) continue
+      if (workers.length === 0 || step.eligibility.isRequestPending || now < step.eligibility.retryNotBefore) continue
       yield { step, workers, expectedMilliseconds: policy.eligibility.decisionMilliseconds + workers.length * policy.eligibility.perWorkerMilliseconds }
     }
   }
@@ -118,13 +118,13 @@
     this.busy.delete(line.instance)
     eligibility.isRequestPending = false
     if (outcome.kind === 'failed') {
-      eligibility.notBefore = this.now() + RETRY_PAUSE_MILLISECONDS
+      eligibility.retryNotBefore = this.now() + RETRY_PAUSE_MILLISECONDS
     } else {
       // The service dates a ticket by its decision, which is not before the expected duration had passed.
       const validFrom = Math.min(this.now(), sentAt + question.expectedMilliseconds)
       for (const worker of question.workers) eligibility.requestedWorkers.add(worker)
       for (const { worker, ticket } of outcome.workers) eligibility.tickets.set(worker, { ticket, validUntil: validFrom + outcome.validMilliseconds })
-      if (outcome.workers.length === 0) eligibility.notBefore = this.now() + RETRY_PAUSE_MILLISECONDS
+      if (outcome.workers.length === 0) eligibility.retryNotBefore = this.now() + RETRY_PAUSE_MILLISECONDS
     }
     this.onAnswer({
       step: question.step.name,
--- a/src/cluster/jobBook.ts
+++ b/src/cluster/jobBook.ts
@@ -46,7 +46,7 @@
   readonly requestedWorkers: Set<string>
   isRequestPending: boolean
   /** No question before this time after a failed one, in milliseconds of the monotonic clock. */
-  notBefore: number
+  retryNotBefore: number
 }
 
 /** Drops a ticket that a worker has refused. The worker may be asked about again: what it may run does not change. */
@@ -57,7 +57,7 @@
 
 export class Step {
   readonly tasks: Task[]
-  readonly eligibility: StepEligibility = { tickets: new Map(), requestedWorkers: new Set(), isRequestPending: false, notBefore: 0 }
+  readonly eligibility: StepEligibility = { tickets: new Map(), requestedWorkers: new Set(), isRequestPending: false, retryNotBefore: 0 }
   /** Workers whose room is kept for this gang, or undefined. */
   reservation: ReadonlySet<string> | undefined
   doneCount = 0
