--- a/src/cluster/actingScheduler.ts
+++ b/src/cluster/actingScheduler.ts
@@ -164,7 +164,7 @@
   stateOf (identity: string): JobStateResult {
     if (!this.isOperating) return 'unsure'
     const job = this.scheduler.jobs.get(identity)
-    if (job !== undefined) return job.shownState
+    if (job !== undefined) return job.visibleState
     return this.isFresh() ? 'unknown' : 'unsure'
   }
 
--- a/src/cluster/jobBook.ts
+++ b/src/cluster/jobBook.ts
@@ -132,7 +132,7 @@
   }
 
   /** State for callers: a final state only once the log holds it, since an end that is not recorded can be lost with its worker. */
-  get shownState (): JobState {
+  get visibleState (): JobState {
     if (!this.isFinal) return this.state
     return isFinalState(this.recordedState) ? this.recordedState : 'running'
   }
