--- a/src/cluster/clusterScheduler.ts
+++ b/src/cluster/clusterScheduler.ts
@@ -204,13 +204,13 @@
     if (worker === undefined) return
     // A report of a former process, overtaken by one of the present process.
     if (report.bornAt !== worker.bornAt && sentAt < worker.bornSeenAt) return
-    const isFirst = !worker.isKnown
+    const isFirst = !worker.hasReported
     if (report.bornAt !== worker.bornAt) {
       if (!isFirst) this.onWorkerRestarted(worker)
       worker.bornAt = report.bornAt
     }
     worker.bornSeenAt = Math.max(worker.bornSeenAt, sentAt)
-    worker.isKnown = true
+    worker.hasReported = true
     worker.isSilent = false
     for (const end of [...report.ended].sort((left, right) => left.number - right.number)) {
       if (end.number <= worker.processedEnd) continue
--- a/src/cluster/workerState.ts
+++ b/src/cluster/workerState.ts
@@ -22,7 +22,7 @@
   /** Tasks that may run here, by name. */
   readonly runs = new Map<string, Task>()
   /** The worker has answered under the current term, so that what runs there is known. */
-  isKnown = false
+  hasReported = false
   /** The latest look failed. */
   isSilent = false
   /** The latest report lists runs that no job accounts for; they take room until they have stopped. */
@@ -71,7 +71,7 @@
 
   /** Whether new runs may be placed here. */
   isUsable (now: number): boolean {
-    return this.isKnown && !this.isSilent && !this.hasStrayRuns && this.isListed && this.entry.state === 'ready' && now >= this.quarantinedUntil
+    return this.hasReported && !this.isSilent && !this.hasStrayRuns && this.isListed && this.entry.state === 'ready' && now >= this.quarantinedUntil
   }
 
   /** Whether a task fits and leaves `headroom` processors free, in thousandths. */
