--- a/src/cluster/clusterScheduler.ts
+++ b/src/cluster/clusterScheduler.ts
@@ -211,7 +211,7 @@
     }
     worker.bornSeenAt = Math.max(worker.bornSeenAt, sentAt)
     worker.hasReported = true
-    worker.isSilent = false
+    worker.isUnresponsive = false
     for (const end of [...report.ended].sort((left, right) => left.number - right.number)) {
       if (end.number <= worker.processedEnd) continue
       worker.processedEnd = end.number
@@ -235,7 +235,7 @@
   /** Notes that a look has failed. */
   onPollFailed (identity: string): void {
     const worker = this.workers.get(identity)
-    if (worker !== undefined) worker.isSilent = true
+    if (worker !== undefined) worker.isUnresponsive = true
   }
 
   /** Notes that nothing can be running on a worker any more: its process has ended, or every lease has. */
@@ -250,7 +250,7 @@
   stopStalledRuns (now: number): Task[] {
     const stuck: Task[] = []
     for (const worker of this.workers.values()) {
-      if (worker.isSilent) continue
+      if (worker.isUnresponsive) continue
       for (const task of worker.runs.values()) {
         if (task.phase !== 'running' || task.step.specification.longRunning) continue
         // A gang member that has finished waits for the others at 100 percent.
--- a/src/cluster/workerSessions.ts
+++ b/src/cluster/workerSessions.ts
@@ -80,7 +80,7 @@
   private needsLooks (identity: string): boolean {
     const worker = this.scheduler.workers.get(identity)
     if (worker === undefined) return false
-    return worker.runs.size > 0 || worker.hasUnrecordedEnds || worker.endToAcknowledge > 0 || worker.hasStrayRuns || (worker.isSilent && worker.isListed)
+    return worker.runs.size > 0 || worker.hasUnrecordedEnds || worker.endToAcknowledge > 0 || worker.hasStrayRuns || (worker.isUnresponsive && worker.isListed)
   }
 
   private awaitsRecord (identity: string): boolean {
@@ -90,7 +90,7 @@
   private onReport (identity: string, report: WorkerReport, sentAt: number, acknowledgedEnd: number): void {
     const worker = this.scheduler.workers.get(identity)
     if (worker === undefined) return
-    if (worker.isSilent) this.logger.info('worker answers again', { worker: identity })
+    if (worker.isUnresponsive) this.logger.info('worker answers again', { worker: identity })
     this.metrics.look('report')
     if (report.bornAt === worker.bornAt) worker.acknowledgedEnd = Math.max(worker.acknowledgedEnd, acknowledgedEnd)
     this.scheduler.onReport(identity, report, sentAt, this.now())
@@ -101,7 +101,7 @@
     this.metrics.look('failed')
     const worker = this.scheduler.workers.get(identity)
     if (worker === undefined) return
-    if (!worker.isSilent) this.logger.warn('worker does not answer', { worker: identity, reason, count: worker.runs.size })
+    if (!worker.isUnresponsive) this.logger.warn('worker does not answer', { worker: identity, reason, count: worker.runs.size })
     this.scheduler.onPollFailed(identity)
   }
 
