--- a/src/cluster/clusterScheduler.ts
+++ b/src/cluster/clusterScheduler.ts
@@ -218,12 +218,12 @@
       this.onEnd(worker, end, now)
     }
     const listed = new Set<string>()
-    worker.hasStrayRuns = false
+    worker.hasOrphanedRuns = false
     for (const row of report.running) {
       listed.add(row.task)
       this.onRunningRow(worker, row.task, row.run, row.checkpoint, row.percent, now)
     }
-    if (!worker.hasStrayRuns) worker.strayStops.clear()
+    if (!worker.hasOrphanedRuns) worker.strayStops.clear()
     for (const task of [...worker.runs.values()]) {
       if (listed.has(task.name)) continue
       if (!this.isRunAbsent(task, isFirst, sentAt)) continue
@@ -363,7 +363,7 @@
 
   /** Orders the stop of a run that no job accounts for. The run is listed until it has stopped. */
   private stopStrayRun (worker: WorkerState, taskName: string, run: number, now: number): void {
-    worker.hasStrayRuns = true
+    worker.hasOrphanedRuns = true
     const key = `${taskName}/${run}`
     const orderedAt = worker.strayStops.get(key)
     if (orderedAt !== undefined && now - orderedAt < STRAY_STOP_PERIOD_MILLISECONDS) return
--- a/src/cluster/workerSessions.ts
+++ b/src/cluster/workerSessions.ts
@@ -80,7 +80,7 @@
   private needsLooks (identity: string): boolean {
     const worker = this.scheduler.workers.get(identity)
     if (worker === undefined) return false
-    return worker.runs.size > 0 || worker.hasUnrecordedEnds || worker.endToAcknowledge > 0 || worker.hasStrayRuns || (worker.isUnresponsive && worker.isListed)
+    return worker.runs.size > 0 || worker.hasUnrecordedEnds || worker.endToAcknowledge > 0 || worker.hasOrphanedRuns || (worker.isUnresponsive && worker.isListed)
   }
 
   private awaitsRecord (identity: string): boolean {
--- a/src/cluster/workerState.ts
+++ b/src/cluster/workerState.ts
@@ -26,7 +26,7 @@
   /** The latest look failed. */
   isUnresponsive = false
   /** The latest report lists runs that no job accounts for; they take room until they have stopped. */
-  hasStrayRuns = false
+  hasOrphanedRuns = false
   /** When the stop of each stray run was last ordered, by task and run, in milliseconds of the monotonic clock. */
   readonly strayStops = new Map<string, number>()
   /** The registry lists the worker. */
@@ -71,7 +71,7 @@
 
   /** Whether new runs may be placed here. */
   isUsable (now: number): boolean {
-    return this.hasReported && !this.isUnresponsive && !this.hasStrayRuns && this.isListed && this.entry.state === 'ready' && now >= this.quarantinedUntil
+    return this.hasReported && !this.isUnresponsive && !this.hasOrphanedRuns && this.isListed && this.entry.state === 'ready' && now >= this.quarantinedUntil
   }
 
   /** Whether a task fits and leaves `headroom` processors free, in thousandths. */
