--- a/src/cluster/clusterScheduler.ts
+++ b/src/cluster/clusterScheduler.ts
@@ -223,7 +223,7 @@
       listed.add(row.task)
       this.onRunningRow(worker, row.task, row.run, row.checkpoint, row.percent, now)
     }
-    if (!worker.hasOrphanedRuns) worker.strayStops.clear()
+    if (!worker.hasOrphanedRuns) worker.orphanStopTimes.clear()
     for (const task of [...worker.runs.values()]) {
       if (listed.has(task.name)) continue
       if (!this.isRunAbsent(task, isFirst, sentAt)) continue
@@ -365,9 +365,9 @@
   private stopStrayRun (worker: WorkerState, taskName: string, run: number, now: number): void {
     worker.hasOrphanedRuns = true
     const key = `${taskName}/${run}`
-    const orderedAt = worker.strayStops.get(key)
+    const orderedAt = worker.orphanStopTimes.get(key)
     if (orderedAt !== undefined && now - orderedAt < STRAY_STOP_PERIOD_MILLISECONDS) return
-    worker.strayStops.set(key, now)
+    worker.orphanStopTimes.set(key, now)
     this.observer.onDidFindOrphanedRun(worker, taskName, run)
     this.plannedStops.push({ worker: worker.identity, task: taskName, run })
   }
--- a/src/cluster/workerState.ts
+++ b/src/cluster/workerState.ts
@@ -28,7 +28,7 @@
   /** The latest report lists runs that no job accounts for; they take room until they have stopped. */
   hasOrphanedRuns = false
   /** When the stop of each stray run was last ordered, by task and run, in milliseconds of the monotonic clock. */
-  readonly strayStops = new Map<string, number>()
+  readonly orphanStopTimes = new Map<string, number>()
   /** The registry lists the worker. */
   isListed = true
   /** Speed relative to the tasks' estimates. */
