--- a/src/cluster/actingScheduler.ts
+++ b/src/cluster/actingScheduler.ts
@@ -368,7 +368,7 @@
   private processedEnds (): Map<WorkerState, ProcessedEnd> {
     const ends = new Map<WorkerState, ProcessedEnd>()
     for (const worker of this.scheduler.workers.values()) {
-      if (worker.hasUnrecordedEnds) ends.set(worker, { number: worker.processedEnd, bornAt: worker.bornAt })
+      if (worker.hasUnrecordedEnds) ends.set(worker, { number: worker.processedEnd, bornAt: worker.processStartedAt })
     }
     return ends
   }
@@ -377,7 +377,7 @@
   private acknowledgeEnds (ends: ReadonlyMap<WorkerState, ProcessedEnd>): void {
     for (const [worker, { number, bornAt }] of ends) {
       // A new process of the worker counts its ends anew.
-      if (bornAt !== worker.bornAt) continue
+      if (bornAt !== worker.processStartedAt) continue
       worker.recordedEnd = number
       this.sessions.get(worker.identity)?.onRecorded()
     }
--- a/src/cluster/clusterScheduler.ts
+++ b/src/cluster/clusterScheduler.ts
@@ -203,11 +203,11 @@
     const worker = this.workers.get(identity)
     if (worker === undefined) return
     // A report of a former process, overtaken by one of the present process.
-    if (report.bornAt !== worker.bornAt && sentAt < worker.bornSeenAt) return
+    if (report.bornAt !== worker.processStartedAt && sentAt < worker.bornSeenAt) return
     const isFirst = !worker.hasReported
-    if (report.bornAt !== worker.bornAt) {
+    if (report.bornAt !== worker.processStartedAt) {
       if (!isFirst) this.onWorkerRestarted(worker)
-      worker.bornAt = report.bornAt
+      worker.processStartedAt = report.bornAt
     }
     worker.bornSeenAt = Math.max(worker.bornSeenAt, sentAt)
     worker.hasReported = true
--- a/src/cluster/workerState.ts
+++ b/src/cluster/workerState.ts
@@ -40,7 +40,7 @@
   /** Latest end that a successful look has told the worker to forget. */
   acknowledgedEnd = 0
   /** Start of the worker's process as it states it, and when the latest look that showed it was sent. */
-  bornAt = 0
+  processStartedAt = 0
   bornSeenAt = -Infinity
   private failuresInRow = 0
   private lastFailedJob = ''
