--- a/src/cluster/clusterScheduler.ts
+++ b/src/cluster/clusterScheduler.ts
@@ -203,13 +203,13 @@
     const worker = this.workers.get(identity)
     if (worker === undefined) return
     // A report of a former process, overtaken by one of the present process.
-    if (report.bornAt !== worker.processStartedAt && sentAt < worker.bornSeenAt) return
+    if (report.bornAt !== worker.processStartedAt && sentAt < worker.processSeenAt) return
     const isFirst = !worker.hasReported
     if (report.bornAt !== worker.processStartedAt) {
       if (!isFirst) this.onWorkerRestarted(worker)
       worker.processStartedAt = report.bornAt
     }
-    worker.bornSeenAt = Math.max(worker.bornSeenAt, sentAt)
+    worker.processSeenAt = Math.max(worker.processSeenAt, sentAt)
     worker.hasReported = true
     worker.isUnresponsive = false
     for (const end of [...report.ended].sort((left, right) => left.number - right.number)) {
--- a/src/cluster/workerState.ts
+++ b/src/cluster/workerState.ts
@@ -41,7 +41,7 @@
   acknowledgedEnd = 0
   /** Start of the worker's process as it states it, and when the latest look that showed it was sent. */
   processStartedAt = 0
-  bornSeenAt = -Infinity
+  processSeenAt = -Infinity
   private failuresInRow = 0
   private lastFailedJob = ''
 
