--- a/src/cluster/eligibilityDesk.ts
+++ b/src/cluster/eligibilityDesk.ts
@@ -94,7 +94,7 @@
   /** Workers that are to be asked about now; undefined if the step can be placed on none of those that are known, so that it uses no room that others wait for. */
   private workersToAsk (step: Step, policy: QueuePolicy, now: number): string[] | undefined {
     const { tickets, requestedWorkers: asked } = step.eligibility
-    const isSuitable = (worker: WorkerState | undefined): worker is WorkerState => worker !== undefined && worker.entry.pool === policy.pool && worker.isUsable(now) && worker.couldCarry(step.specification)
+    const isSuitable = (worker: WorkerState | undefined): worker is WorkerState => worker !== undefined && worker.entry.pool === policy.pool && worker.isUsable(now) && worker.fitsWhenEmpty(step.specification)
     const named = [...tickets.keys()].map(identity => this.scheduler.workers.get(identity)).filter(isSuitable)
     // Workers may have become known since the first question, above all after a change of scheduler.
     if (!couldCarryTasks(named, step, step.waitingCount, this.scheduler.headroom)) {
--- a/src/cluster/placementPass.ts
+++ b/src/cluster/placementPass.ts
@@ -125,7 +125,7 @@
 
   private reserve (step: Step): void {
     if (this.reservations >= MAXIMUM_RESERVATIONS) return
-    const eligible = this.eligibleWorkers(step).filter(worker => worker.couldCarry(step.specification) && !this.reserved.has(worker.identity))
+    const eligible = this.eligibleWorkers(step).filter(worker => worker.fitsWhenEmpty(step.specification) && !this.reserved.has(worker.identity))
     if (eligible.length === 0) return
     const kept = step.reservation ?? new Set<string>()
     // Workers that are already kept come first, so that the room gathers in one place.
--- a/src/cluster/workerState.ts
+++ b/src/cluster/workerState.ts
@@ -80,7 +80,7 @@
   }
 
   /** Whether the empty worker could carry a task of the step. */
-  couldCarry (step: JobStep): boolean {
+  fitsWhenEmpty (step: JobStep): boolean {
     return processorsOf(step) <= this.entry.processorsThousandths && step.memoryMegabytes <= this.entry.memoryMegabytes && step.accelerators <= this.entry.accelerators && this.hasLabel(step)
   }
 
