--- a/src/cluster/clusterScheduler.ts
+++ b/src/cluster/clusterScheduler.ts
@@ -310,7 +310,7 @@
     if (task.phase !== 'uncertain') return
     // A worker that the registry has dropped may still be running the task until its lease ends.
     const worker = this.workers.get(task.worker) ?? this.addUnlistedWorker(task)
-    worker.occupy(task)
+    worker.allocate(task)
   }
 
   private addUnlistedWorker (task: Task): WorkerState {
--- a/src/cluster/placementPass.ts
+++ b/src/cluster/placementPass.ts
@@ -222,7 +222,7 @@
     task.run = run
     task.worker = worker.identity
     task.phase = 'placed'
-    worker.occupy(task)
+    worker.allocate(task)
     this.planned.push({ task, run, worker, ticket })
   }
 }
--- a/src/cluster/workerState.ts
+++ b/src/cluster/workerState.ts
@@ -88,7 +88,7 @@
     return step.requiredLabel === '' || this.entry.labels.includes(step.requiredLabel)
   }
 
-  occupy (task: Task): void {
+  allocate (task: Task): void {
     if (this.runs.has(task.name)) return
     this.runs.set(task.name, task)
     this.count(task, 1)
