--- a/src/cluster/eligibilityDesk.ts
+++ b/src/cluster/eligibilityDesk.ts
@@ -1,7 +1,7 @@
 import type { QueuePolicy } from '../contracts/clusterConfiguration.js'
 import type { ClusterScheduler } from './clusterScheduler.js'
 import type { Step } from './jobBook.js'
-import { couldCarryTasks, sortByUrgency } from './placementPass.js'
+import { couldCarryTasks, sortByPlacementOrder } from './placementPass.js'
 import { UrgentHeadroom } from './urgentHeadroom.js'
 import type { EligibilityOutcome } from './workerPort.js'
 import type { WorkerState } from './workerState.js'
@@ -77,7 +77,7 @@
   private * questions (): Generator<Question> {
     const now = this.now()
     const steps = [...this.scheduler.readySteps]
-    sortByUrgency(steps, now)
+    sortByPlacementOrder(steps, now)
     let ahead = 0
     for (const step of steps) {
       const policy = this.scheduler.policyOf(step.job)
--- a/src/cluster/placementPass.ts
+++ b/src/cluster/placementPass.ts
@@ -44,7 +44,7 @@
   ) {}
 
   run (): PlannedRun[] {
-    sortByUrgency(this.steps, this.now)
+    sortByPlacementOrder(this.steps, this.now)
     this.measureRoom()
     for (const step of this.steps) {
       if (step.specification.gang) this.placeGang(step)
@@ -234,7 +234,7 @@
  * Sorts steps by their turn, and by objective within one turn. Urgent work that is late comes before all other work while it
  * is still worth something: it is small and has been waited for. Work that is overdue comes last.
  */
-export function sortByUrgency (steps: Step[], now: number): void {
+export function sortByPlacementOrder (steps: Step[], now: number): void {
   const turns = new Map(steps.map(step => [step, turnOf(step.job, now)]))
   steps.sort((left, right) => (turns.get(left) as Turn) - (turns.get(right) as Turn) || left.job.objectiveAt - right.job.objectiveAt || left.index - right.index)
 }
