--- a/src/cluster/eligibilityDesk.ts
+++ b/src/cluster/eligibilityDesk.ts
@@ -1,7 +1,7 @@
 import type { QueuePolicy } from '../contracts/clusterConfiguration.js'
 import type { ClusterScheduler } from './clusterScheduler.js'
 import type { Step } from './jobBook.js'
-import { couldCarryTasks, sortByPlacementOrder } from './placementPass.js'
+import { tasksFitWhenEmpty, sortByPlacementOrder } from './placementPass.js'
 import { UrgentHeadroom } from './urgentHeadroom.js'
 import type { EligibilityOutcome } from './workerPort.js'
 import type { WorkerState } from './workerState.js'
@@ -97,10 +97,10 @@
     const isSuitable = (worker: WorkerState | undefined): worker is WorkerState => worker !== undefined && worker.entry.pool === policy.pool && worker.isUsable(now) && worker.fitsWhenEmpty(step.specification)
     const named = [...tickets.keys()].map(identity => this.scheduler.workers.get(identity)).filter(isSuitable)
     // Workers may have become known since the first question, above all after a change of scheduler.
-    if (!couldCarryTasks(named, step, step.waitingCount, this.scheduler.headroom)) {
+    if (!tasksFitWhenEmpty(named, step, step.waitingCount, this.scheduler.headroom)) {
       const unasked = [...this.scheduler.workers.values()].filter(worker => !asked.has(worker.identity)).filter(isSuitable)
       if (unasked.length > 0) return identities([...unasked, ...named])
-      if (!couldCarryTasks(named, step, step.specification.gang ? step.waitingCount : 1, NO_HEADROOM)) return undefined
+      if (!tasksFitWhenEmpty(named, step, step.specification.gang ? step.waitingCount : 1, NO_HEADROOM)) return undefined
     }
     const stale = named.filter(worker => (tickets.get(worker.identity)?.validUntil ?? 0) - REFRESH_MARGIN_MILLISECONDS <= now)
     if (step.specification.gang) return stale.length > 0 && (step.reservation !== undefined || stale.some(worker => worker.fits(step.specification))) ? identities(named) : []
--- a/src/cluster/placementPass.ts
+++ b/src/cluster/placementPass.ts
@@ -163,7 +163,7 @@
     const known = this.allRoom.get(step)
     if (known !== undefined) return known
     const needed = step.specification.gang ? step.tasks.length : 1
-    const needsAll = !couldCarryTasks(this.eligibleWorkers(step), step, needed, this.headroom)
+    const needsAll = !tasksFitWhenEmpty(this.eligibleWorkers(step), step, needed, this.headroom)
     this.allRoom.set(step, needsAll)
     return needsAll
   }
@@ -265,7 +265,7 @@
 }
 
 /** Whether the workers, if they were empty, could carry this many tasks of the step beside the room kept for urgent work. */
-export function couldCarryTasks (workers: readonly WorkerState[], step: Step, count: number, headroom: UrgentHeadroom): boolean {
+export function tasksFitWhenEmpty (workers: readonly WorkerState[], step: Step, count: number, headroom: UrgentHeadroom): boolean {
   let left = count
   for (const worker of workers) {
     left -= capacityFor(worker, step, step.job.isUrgent ? 0 : headroom.ofEmpty(worker))
