--- a/src/cluster/placementPass.ts
+++ b/src/cluster/placementPass.ts
@@ -57,7 +57,7 @@
     for (const worker of this.workers.values()) {
       if (!worker.isUsable(this.now)) continue
       this.mostFree.urgent = Math.max(this.mostFree.urgent, worker.freeProcessors)
-      this.mostFree.other = Math.max(this.mostFree.other, worker.freeProcessors - this.headroom.of(worker))
+      this.mostFree.other = Math.max(this.mostFree.other, worker.freeProcessors - this.headroom.reservedOn(worker))
     }
   }
 
@@ -154,7 +154,7 @@
 
   private headroomFor (step: Step, worker: WorkerState): number {
     if (step.job.isUrgent) return 0
-    const kept = this.headroom.of(worker)
+    const kept = this.headroom.reservedOn(worker)
     return kept === 0 || this.needsAllRoom(step) ? 0 : kept
   }
 
--- a/src/cluster/urgentHeadroom.ts
+++ b/src/cluster/urgentHeadroom.ts
@@ -30,7 +30,7 @@
   }
 
   /** Processors of a worker that other than urgent work must leave free, in thousandths of a core. */
-  of (worker: WorkerState): number {
+  reservedOn (worker: WorkerState): number {
     // Urgent work that is here already uses the room that is kept.
     return Math.max(0, this.ofEmpty(worker) - worker.urgentProcessors)
   }
