--- a/src/cluster/placementPass.ts
+++ b/src/cluster/placementPass.ts
@@ -134,7 +134,7 @@
     let members = 0
     for (const worker of eligible) {
       reservation.add(worker.identity)
-      members += capacityFor(worker, step, this.needsAllRoom(step) ? 0 : this.headroom.ofEmpty(worker))
+      members += capacityFor(worker, step, this.needsAllRoom(step) ? 0 : this.headroom.reservedOnEmpty(worker))
       if (members >= step.tasks.length) break
     }
     step.reservation = reservation
@@ -268,7 +268,7 @@
 export function tasksFitWhenEmpty (workers: readonly WorkerState[], step: Step, count: number, headroom: UrgentHeadroom): boolean {
   let left = count
   for (const worker of workers) {
-    left -= capacityFor(worker, step, step.job.isUrgent ? 0 : headroom.ofEmpty(worker))
+    left -= capacityFor(worker, step, step.job.isUrgent ? 0 : headroom.reservedOnEmpty(worker))
     if (left <= 0) return true
   }
   return left <= 0
--- a/src/cluster/urgentHeadroom.ts
+++ b/src/cluster/urgentHeadroom.ts
@@ -32,11 +32,11 @@
   /** Processors of a worker that other than urgent work must leave free, in thousandths of a core. */
   reservedOn (worker: WorkerState): number {
     // Urgent work that is here already uses the room that is kept.
-    return Math.max(0, this.ofEmpty(worker) - worker.urgentProcessors)
+    return Math.max(0, this.reservedOnEmpty(worker) - worker.urgentProcessors)
   }
 
   /** The same for the worker if it were empty. */
-  ofEmpty (worker: WorkerState): number {
+  reservedOnEmpty (worker: WorkerState): number {
     if (worker.speed < FAST_WORKER_SPEED || this.share === 0) return 0
     return Math.min(MAXIMUM_SHARE, Math.max(MINIMUM_SHARE, BURST_FACTOR * this.share)) * worker.entry.processorsThousandths
   }
