--- a/bench/capacityCluster.ts
+++ b/bench/capacityCluster.ts
@@ -1,6 +1,6 @@
 import { Random } from '../src/base/random.js'
 import { ClusterScheduler } from '../src/cluster/clusterScheduler.js'
-import { EligibilityDesk } from '../src/cluster/eligibilityDesk.js'
+import { EligibilityRequester } from '../src/cluster/eligibilityDesk.js'
 import { toProgressRecord } from '../src/cluster/jobBook.js'
 import { decodeRecord, encodeRecord, type ProgressRecord, type SubmissionRecord } from '../src/contracts/clusterRecords.js'
 import { stepJobSchema } from '../src/contracts/stepJob.js'
@@ -89,7 +89,7 @@
     }
     const placing = medianMilliseconds(runs, createBacklog, scheduler => { scheduler.place(1) })
     const line = { instance: 'entry', ask: async () => ({ kind: 'failed', reason: 'not asked' }) as const }
-    const choosing = medianMilliseconds(runs, () => new EligibilityDesk(createBacklog(), () => [line], () => {}, () => 1), desk => desk.pump())
+    const choosing = medianMilliseconds(runs, () => new EligibilityRequester(createBacklog(), () => [line], () => {}, () => 1), desk => desk.pump())
     printRow([steps, placing.toFixed(2), choosing.toFixed(2)])
   }
 }
--- a/src/cluster/actingScheduler.ts
+++ b/src/cluster/actingScheduler.ts
@@ -8,7 +8,7 @@
 import type { JobState } from '../contracts/stepJob.js'
 import type { ClusterMetrics } from './clusterMetrics.js'
 import { ClusterScheduler, type PlannedStop, type SchedulerObserver } from './clusterScheduler.js'
-import { EligibilityDesk, type EligibilityAnswer, type EligibilityLine } from './eligibilityDesk.js'
+import { EligibilityRequester, type EligibilityAnswer, type EligibilityLine } from './eligibilityDesk.js'
 import { discardTicket, toProgressRecord, type Job, type Task } from './jobBook.js'
 import { JobRetention } from './jobRetention.js'
 import type { PlannedRun } from './placementPass.js'
@@ -64,7 +64,7 @@
 export class ActiveScheduler extends DisposableObject implements SchedulerObserver {
   private readonly scheduler: ClusterScheduler
   private readonly writer: ProgressWriter
-  private readonly desk: EligibilityDesk
+  private readonly desk: EligibilityRequester
   private readonly submissions: TopicFollower[]
   private readonly sessions: WorkerSessions
   private readonly abort = new AbortController()
@@ -103,7 +103,7 @@
       onDeposed: options.onSuperseded
     }, metrics, logger, now))
     this.retention = this.register(new JobRetention(log, logger))
-    this.desk = new EligibilityDesk(this.scheduler, options.eligibilityChannels, answer => this.onEligibilityAnswer(answer), now)
+    this.desk = new EligibilityRequester(this.scheduler, options.eligibilityChannels, answer => this.onEligibilityAnswer(answer), now)
     this.submissions = Array.from({ length: SUBMISSION_PARTITIONS }, (_, partition) => this.register(new TopicFollower(
       log,
       { topic: TOPICS.submissions, partition, waitMilliseconds: SUBMISSION_WAIT_MILLISECONDS, periodMilliseconds: () => SUBMISSION_PERIOD_MILLISECONDS },
--- a/src/cluster/eligibilityDesk.ts
+++ b/src/cluster/eligibilityDesk.ts
@@ -48,7 +48,7 @@
 }
 
 /** Asks the eligibility service on behalf of the acting scheduler, over the lines of all instances, for the steps whose turn comes first. */
-export class EligibilityDesk {
+export class EligibilityRequester {
   private readonly busy = new Set<string>()
 
   constructor (
--- a/test/cluster/eligibilityDesk.test.ts
+++ b/test/cluster/eligibilityDesk.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import { ClusterScheduler } from '../../src/cluster/clusterScheduler.js'
-import { EligibilityDesk } from '../../src/cluster/eligibilityDesk.js'
+import { EligibilityRequester } from '../../src/cluster/eligibilityDesk.js'
 import { stepJobSchema } from '../../src/contracts/stepJob.js'
 import { FakeWorker } from '../fakes/fakeClusterWorkers.js'
 import { SILENT_OBSERVER } from '../fakes/silentObserver.js'
@@ -41,7 +41,7 @@
     scheduler.addJob('00000000000000aa', { queue: 'queue', pool: 'pool', job: stepJobSchema.parse({ specification: '', steps: [{ count: 1, gang: true, processorsThousandths: 1000 }] }), acceptedAt: Date.now() }, 0)
     const asked: string[][] = []
     let now = 0
-    const desk = new EligibilityDesk(scheduler, () => [{
+    const desk = new EligibilityRequester(scheduler, () => [{
       instance: 'own',
       ask: async (_step, workers) => {
         asked.push([...workers].sort())
@@ -74,7 +74,7 @@
       add('placeable', { count: 1 })
       const asked = new Set<string>()
       let now = 0
-      const desk = new EligibilityDesk(scheduler, () => [{
+      const desk = new EligibilityRequester(scheduler, () => [{
         instance: 'own',
         ask: async (name, workers) => {
           asked.add(name)
@@ -98,7 +98,7 @@
       scheduler.addJob('00000000000000aa', { queue: 'queue', pool: 'pool', job: stepJobSchema.parse({ specification: '', steps: [{ processorsThousandths: 1000, ...step }] }), acceptedAt: Date.now() }, 0)
       const asked: string[][] = []
       let now = 0
-      const desk = new EligibilityDesk(scheduler, () => [{
+      const desk = new EligibilityRequester(scheduler, () => [{
         instance: 'own',
         ask: async (_step, workers) => {
           asked.push([...workers].sort())
