--- a/bench/capacityCluster.ts
+++ b/bench/capacityCluster.ts
@@ -89,7 +89,7 @@
     }
     const placing = medianMilliseconds(runs, createBacklog, scheduler => { scheduler.place(1) })
     const line = { instance: 'entry', ask: async () => ({ kind: 'failed', reason: 'not asked' }) as const }
-    const choosing = medianMilliseconds(runs, () => new EligibilityRequester(createBacklog(), () => [line], () => {}, () => 1), desk => desk.pump())
+    const choosing = medianMilliseconds(runs, () => new EligibilityRequester(createBacklog(), () => [line], () => {}, () => 1), desk => desk.sendRequests())
     printRow([steps, placing.toFixed(2), choosing.toFixed(2)])
   }
 }
--- a/src/cluster/actingScheduler.ts
+++ b/src/cluster/actingScheduler.ts
@@ -326,7 +326,7 @@
   private decide (now: number): PlannedRun[] {
     const planned = [...this.unordered.splice(0), ...this.scheduler.place(now)]
     this.sendStops(this.scheduler.takeStops())
-    this.desk.pump()
+    this.desk.sendRequests()
     return planned
   }
 
--- a/src/cluster/eligibilityDesk.ts
+++ b/src/cluster/eligibilityDesk.ts
@@ -59,7 +59,7 @@
   ) {}
 
   /** Sends questions on all free lines. */
-  pump (): void {
+  sendRequests (): void {
     const lines = this.lines()
     const free = lines.filter(line => !this.busy.has(line.instance))
     if (free.length === 0) return
--- a/test/cluster/eligibilityDesk.test.ts
+++ b/test/cluster/eligibilityDesk.test.ts
@@ -48,12 +48,12 @@
         return { kind: 'eligible', workers: workers.map(worker => ({ worker, ticket: 'ticket' })), validMilliseconds: 2500 }
       }
     }], () => {}, () => now)
-    desk.pump()
+    desk.sendRequests()
     await Promise.resolve()
     await Promise.resolve()
     addWorkers(scheduler, ['w2'])
     now = 1000
-    desk.pump()
+    desk.sendRequests()
     assert.deepEqual(asked, [['w1'], ['w1', 'w2']])
   })
 
@@ -82,7 +82,7 @@
         }
       }], () => {}, () => now)
       for (let question = 0; question < 100 && !asked.has('placeable.0.0'); question += 1) {
-        desk.pump()
+        desk.sendRequests()
         await Promise.resolve()
         await Promise.resolve()
         now += 200
@@ -105,12 +105,12 @@
           return { kind: 'eligible', workers: workers.filter(worker => named.includes(worker)).map(worker => ({ worker, ticket: 'ticket' })), validMilliseconds: 2500 }
         }
       }], () => {}, () => now)
-      desk.pump()
+      desk.sendRequests()
       await Promise.resolve()
       await Promise.resolve()
       addWorkers(scheduler, later)
       now = 1000
-      desk.pump()
+      desk.sendRequests()
       assert.deepEqual(asked, questions)
     })
   }
