--- a/src/cluster/actingScheduler.ts
+++ b/src/cluster/actingScheduler.ts
@@ -8,7 +8,7 @@
 import type { JobState } from '../contracts/stepJob.js'
 import type { ClusterMetrics } from './clusterMetrics.js'
 import { ClusterScheduler, type PlannedStop, type SchedulerObserver } from './clusterScheduler.js'
-import { EligibilityRequester, type EligibilityAnswer, type EligibilityLine } from './eligibilityDesk.js'
+import { EligibilityRequester, type EligibilityAnswer, type EligibilityChannel } from './eligibilityDesk.js'
 import { discardTicket, toProgressRecord, type Job, type Task } from './jobBook.js'
 import { JobRetention } from './jobRetention.js'
 import type { PlannedRun } from './placementPass.js'
@@ -42,7 +42,7 @@
   /** Time of the last renewal of the role that the log has stored, in milliseconds of the monotonic clock. */
   readonly renewedAt: () => number
   /** Lines to the eligibility service of all instances that can be reached. */
-  readonly eligibilityChannels: () => readonly EligibilityLine[]
+  readonly eligibilityChannels: () => readonly EligibilityChannel[]
   /** The role has passed to another instance. */
   readonly onSuperseded: () => void
 }
--- a/src/cluster/eligibilityDesk.ts
+++ b/src/cluster/eligibilityDesk.ts
@@ -24,7 +24,7 @@
 const NO_HEADROOM = new UrgentHeadroom()
 
 /** One place from which questions are asked; the service handles one of its questions at a time. */
-export interface EligibilityLine {
+export interface EligibilityChannel {
   readonly instance: string
   ask (step: string, workers: readonly string[], timeoutMilliseconds: number): Promise<EligibilityOutcome>
 }
@@ -53,7 +53,7 @@
 
   constructor (
     private readonly scheduler: ClusterScheduler,
-    private readonly lines: () => readonly EligibilityLine[],
+    private readonly lines: () => readonly EligibilityChannel[],
     private readonly onAnswer: (answer: EligibilityAnswer) => void,
     private readonly now: () => number
   ) {}
@@ -109,7 +109,7 @@
     return identities(stale.filter(worker => worker.fits(step.specification)))
   }
 
-  private async ask (line: EligibilityLine, question: Question): Promise<void> {
+  private async ask (line: EligibilityChannel, question: Question): Promise<void> {
     const eligibility = question.step.eligibility
     eligibility.isRequestPending = true
     this.busy.add(line.instance)
--- a/src/cluster/instanceLinks.ts
+++ b/src/cluster/instanceLinks.ts
@@ -6,7 +6,7 @@
 import type { LeadershipRecord } from '../contracts/clusterRecords.js'
 import type { SocketAddress } from '../contracts/clusterSettings.js'
 import { ClusterLink, ClusterLinkServer, openClusterLink } from '../links/clusterLink.js'
-import type { EligibilityLine } from './eligibilityDesk.js'
+import type { EligibilityChannel } from './eligibilityDesk.js'
 import { PeerSet, type Peer } from './peerSet.js'
 import { schedulingCapacityOf, type InstanceResources } from './schedulingCapacity.js'
 import type { EligibilityOutcome, EligibilityPort } from './workerPort.js'
@@ -79,9 +79,9 @@
   }
 
   /** Lines to the eligibility service: this instance's own and those of all linked instances. */
-  eligibilityLines (): EligibilityLine[] {
-    const own: EligibilityLine = { instance: this.identity.instance, ask: async (step, workers, timeout) => await this.eligibility.ask(step, workers, timeout) }
-    const others = [...this.peers].map(({ instance, link }): EligibilityLine => ({ instance, ask: async (step, workers, timeout) => await askOverLink(link, step, workers, timeout) }))
+  eligibilityLines (): EligibilityChannel[] {
+    const own: EligibilityChannel = { instance: this.identity.instance, ask: async (step, workers, timeout) => await this.eligibility.ask(step, workers, timeout) }
+    const others = [...this.peers].map(({ instance, link }): EligibilityChannel => ({ instance, ask: async (step, workers, timeout) => await askOverLink(link, step, workers, timeout) }))
     return [own, ...others]
   }
 
--- a/test/cluster/actingScheduler.test.ts
+++ b/test/cluster/actingScheduler.test.ts
@@ -5,7 +5,7 @@
 import { Random } from '../../src/base/random.js'
 import { ActiveScheduler } from '../../src/cluster/actingScheduler.js'
 import { ClusterMetrics } from '../../src/cluster/clusterMetrics.js'
-import type { EligibilityLine } from '../../src/cluster/eligibilityDesk.js'
+import type { EligibilityChannel } from '../../src/cluster/eligibilityDesk.js'
 import { TOPICS } from '../../src/cluster/recordLog.js'
 import { cancelKey } from '../../src/cluster/submissions.js'
 import type { ClusterConfiguration } from '../../src/contracts/clusterConfiguration.js'
@@ -30,7 +30,7 @@
 const JOB = '00000000000000aa'
 
 /** A service that names all workers that it is asked about. */
-const ALL_ELIGIBLE: EligibilityLine = {
+const ALL_ELIGIBLE: EligibilityChannel = {
   instance: 'own',
   ask: async (_step, workers) => ({ kind: 'eligible', workers: workers.map(worker => ({ worker, ticket: 'ticket' })), validMilliseconds: 2000 })
 }
