--- a/src/cluster/eligibilityDesk.ts
+++ b/src/cluster/eligibilityDesk.ts
@@ -26,7 +26,7 @@
 /** One place from which questions are asked; the service handles one of its questions at a time. */
 export interface EligibilityChannel {
   readonly instance: string
-  ask (step: string, workers: readonly string[], timeoutMilliseconds: number): Promise<EligibilityOutcome>
+  request (step: string, workers: readonly string[], timeoutMilliseconds: number): Promise<EligibilityOutcome>
 }
 
 /** What became of one question. */
@@ -114,7 +114,7 @@
     eligibility.isRequestPending = true
     this.busy.add(line.instance)
     const sentAt = this.now()
-    const outcome = await line.ask(question.step.name, question.workers, question.expectedMilliseconds + ANSWER_SLACK_MILLISECONDS)
+    const outcome = await line.request(question.step.name, question.workers, question.expectedMilliseconds + ANSWER_SLACK_MILLISECONDS)
     this.busy.delete(line.instance)
     eligibility.isRequestPending = false
     if (outcome.kind === 'failed') {
--- a/src/cluster/instanceLinks.ts
+++ b/src/cluster/instanceLinks.ts
@@ -80,8 +80,8 @@
 
   /** Lines to the eligibility service: this instance's own and those of all linked instances. */
   eligibilityLines (): EligibilityChannel[] {
-    const own: EligibilityChannel = { instance: this.identity.instance, ask: async (step, workers, timeout) => await this.eligibility.ask(step, workers, timeout) }
-    const others = [...this.peers].map(({ instance, link }): EligibilityChannel => ({ instance, ask: async (step, workers, timeout) => await askOverLink(link, step, workers, timeout) }))
+    const own: EligibilityChannel = { instance: this.identity.instance, request: async (step, workers, timeout) => await this.eligibility.ask(step, workers, timeout) }
+    const others = [...this.peers].map(({ instance, link }): EligibilityChannel => ({ instance, request: async (step, workers, timeout) => await askOverLink(link, step, workers, timeout) }))
     return [own, ...others]
   }
 
--- a/test/cluster/actingScheduler.test.ts
+++ b/test/cluster/actingScheduler.test.ts
@@ -32,7 +32,7 @@
 /** A service that names all workers that it is asked about. */
 const ALL_ELIGIBLE: EligibilityChannel = {
   instance: 'own',
-  ask: async (_step, workers) => ({ kind: 'eligible', workers: workers.map(worker => ({ worker, ticket: 'ticket' })), validMilliseconds: 2000 })
+  request: async (_step, workers) => ({ kind: 'eligible', workers: workers.map(worker => ({ worker, ticket: 'ticket' })), validMilliseconds: 2000 })
 }
 
 interface Site {
--- a/test/cluster/eligibilityDesk.test.ts
+++ b/test/cluster/eligibilityDesk.test.ts
@@ -43,7 +43,7 @@
     let now = 0
     const desk = new EligibilityRequester(scheduler, () => [{
       instance: 'own',
-      ask: async (_step, workers) => {
+      request: async (_step, workers) => {
         asked.push([...workers].sort())
         return { kind: 'eligible', workers: workers.map(worker => ({ worker, ticket: 'ticket' })), validMilliseconds: 2500 }
       }
@@ -76,7 +76,7 @@
       let now = 0
       const desk = new EligibilityRequester(scheduler, () => [{
         instance: 'own',
-        ask: async (name, workers) => {
+        request: async (name, workers) => {
           asked.add(name)
           return { kind: 'eligible', workers: workers.map(worker => ({ worker, ticket: 'ticket' })), validMilliseconds: 2500 }
         }
@@ -100,7 +100,7 @@
       let now = 0
       const desk = new EligibilityRequester(scheduler, () => [{
         instance: 'own',
-        ask: async (_step, workers) => {
+        request: async (_step, workers) => {
           asked.push([...workers].sort())
           return { kind: 'eligible', workers: workers.filter(worker => named.includes(worker)).map(worker => ({ worker, ticket: 'ticket' })), validMilliseconds: 2500 }
         }
