--- a/src/cluster/actingScheduler.ts
+++ b/src/cluster/actingScheduler.ts
@@ -8,7 +8,7 @@
 import type { JobState } from '../contracts/stepJob.js'
 import type { ClusterMetrics } from './clusterMetrics.js'
 import { ClusterScheduler, type PlannedStop, type SchedulerObserver } from './clusterScheduler.js'
-import { EligibilityRequester, type EligibilityAnswer, type EligibilityChannel } from './eligibilityDesk.js'
+import { EligibilityRequester, type EligibilityRequestResult, type EligibilityChannel } from './eligibilityDesk.js'
 import { discardTicket, toProgressRecord, type Job, type Task } from './jobBook.js'
 import { JobRetention } from './jobRetention.js'
 import type { PlannedRun } from './placementPass.js'
@@ -294,7 +294,7 @@
     this.evictedKeys.push(key)
   }
 
-  private onEligibilityAnswer (answer: EligibilityAnswer): void {
+  private onEligibilityAnswer (answer: EligibilityRequestResult): void {
     const { step, instance, asked, named, durationMilliseconds, reason } = answer
     if (reason === '') this.logger.info('eligible workers are known', { task: step, peer: instance, count: named, reason: `${asked} asked about`, durationMilliseconds })
     else this.logger.warn('the eligibility service did not answer', { task: step, peer: instance, reason, durationMilliseconds })
--- a/src/cluster/eligibilityDesk.ts
+++ b/src/cluster/eligibilityDesk.ts
@@ -30,7 +30,7 @@
 }
 
 /** What became of one question. */
-export interface EligibilityAnswer {
+export interface EligibilityRequestResult {
   readonly step: string
   readonly instance: string
   /** Workers asked about and named. */
@@ -54,7 +54,7 @@
   constructor (
     private readonly scheduler: ClusterScheduler,
     private readonly lines: () => readonly EligibilityChannel[],
-    private readonly onAnswer: (answer: EligibilityAnswer) => void,
+    private readonly onAnswer: (answer: EligibilityRequestResult) => void,
     private readonly now: () => number
   ) {}
 
