--- a/src/cluster/eligibilityDesk.ts
+++ b/src/cluster/eligibilityDesk.ts
@@ -34,7 +34,7 @@
   readonly step: string
   readonly instance: string
   /** Workers asked about and named. */
-  readonly asked: number
+  readonly requestedCount: number
   readonly named: number
   readonly durationMilliseconds: number
   /** Why there is no answer; empty if there is one. */
@@ -129,7 +129,7 @@
     this.onAnswer({
       step: question.step.name,
       instance: line.instance,
-      asked: question.workers.length,
+      requestedCount: question.workers.length,
       named: outcome.kind === 'failed' ? 0 : outcome.workers.length,
       durationMilliseconds: Math.round(this.now() - sentAt),
       reason: outcome.kind === 'failed' ? outcome.reason : ''
