--- a/src/cluster/actingScheduler.ts
+++ b/src/cluster/actingScheduler.ts
@@ -295,7 +295,7 @@
   }
 
   private onEligibilityAnswer (answer: EligibilityRequestResult): void {
-    const { step, instance, requestedCount: asked, named, durationMilliseconds, reason } = answer
+    const { step, instance, requestedCount: asked, eligibleCount: named, durationMilliseconds, reason } = answer
     if (reason === '') this.logger.info('eligible workers are known', { task: step, peer: instance, count: named, reason: `${asked} asked about`, durationMilliseconds })
     else this.logger.warn('the eligibility service did not answer', { task: step, peer: instance, reason, durationMilliseconds })
     this.trigger()
--- a/src/cluster/eligibilityDesk.ts
+++ b/src/cluster/eligibilityDesk.ts
@@ -35,7 +35,7 @@
   readonly instance: string
   /** Workers asked about and named. */
   readonly requestedCount: number
-  readonly named: number
+  readonly eligibleCount: number
   readonly durationMilliseconds: number
   /** Why there is no answer; empty if there is one. */
   readonly reason: string
@@ -130,7 +130,7 @@
       step: question.step.name,
       instance: line.instance,
       requestedCount: question.workers.length,
-      named: outcome.kind === 'failed' ? 0 : outcome.workers.length,
+      eligibleCount: outcome.kind === 'failed' ? 0 : outcome.workers.length,
       durationMilliseconds: Math.round(this.now() - sentAt),
       reason: outcome.kind === 'failed' ? outcome.reason : ''
     })
