--- a/test/fakes/fakeCluster.ts
+++ b/test/fakes/fakeCluster.ts
@@ -1,6 +1,6 @@
 import { Logger } from '../../src/base/logger.js'
 import { Random } from '../../src/base/random.js'
-import { ActiveScheduler } from '../../src/cluster/actingScheduler.js'
+import { ActiveScheduler } from '../../src/cluster/activeScheduler.js'
 import { ClusterMetrics } from '../../src/cluster/clusterMetrics.js'
 import { RecordLog, TOPICS, type AppendOptions, type AppendOutcome, type KeyedRecord, type ReadOutcome, type SnapshotOutcome } from '../../src/cluster/recordLog.js'
 import { cancelKey, SUBMISSION_PARTITIONS } from '../../src/cluster/submissions.js'
