--- a/bench/capacityCluster.ts
+++ b/bench/capacityCluster.ts
@@ -1,6 +1,6 @@
 import { Random } from '../src/base/random.js'
 import { ClusterScheduler } from '../src/cluster/clusterScheduler.js'
-import { EligibilityRequester } from '../src/cluster/eligibilityDesk.js'
+import { EligibilityRequester } from '../src/cluster/eligibilityRequester.js'
 import { toProgressRecord } from '../src/cluster/jobBook.js'
 import { decodeRecord, encodeRecord, type ProgressRecord, type SubmissionRecord } from '../src/contracts/clusterRecords.js'
 import { stepJobSchema } from '../src/contracts/stepJob.js'
--- a/src/cluster/instanceLinks.ts
+++ b/src/cluster/instanceLinks.ts
@@ -6,7 +6,7 @@
 import type { LeadershipRecord } from '../contracts/clusterRecords.js'
 import type { SocketAddress } from '../contracts/clusterSettings.js'
 import { ClusterLink, ClusterLinkServer, openClusterLink } from '../links/clusterLink.js'
-import type { EligibilityChannel } from './eligibilityDesk.js'
+import type { EligibilityChannel } from './eligibilityRequester.js'
 import { PeerSet, type Peer } from './peerSet.js'
 import { schedulingCapacityOf, type InstanceResources } from './schedulingCapacity.js'
 import type { EligibilityOutcome, EligibilityPort } from './workerPort.js'
--- a/test/cluster/eligibilityDesk.test.ts
+++ b/test/cluster/eligibilityDesk.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import { ClusterScheduler } from '../../src/cluster/clusterScheduler.js'
-import { EligibilityRequester } from '../../src/cluster/eligibilityDesk.js'
+import { EligibilityRequester } from '../../src/cluster/eligibilityRequester.js'
 import { stepJobSchema } from '../../src/contracts/stepJob.js'
 import { FakeWorker } from '../fakes/fakeClusterWorkers.js'
 import { SILENT_OBSERVER } from '../fakes/silentObserver.js'
