--- a/bench/capacityCluster.ts
+++ b/bench/capacityCluster.ts
@@ -1,7 +1,7 @@
 import { Random } from '../src/base/random.js'
 import { ClusterScheduler } from '../src/cluster/clusterScheduler.js'
 import { EligibilityRequester } from '../src/cluster/eligibilityRequester.js'
-import { toProgressRecord } from '../src/cluster/jobBook.js'
+import { toProgressRecord } from '../src/cluster/job.js'
 import { decodeRecord, encodeRecord, type ProgressRecord, type SubmissionRecord } from '../src/contracts/clusterRecords.js'
 import { stepJobSchema } from '../src/contracts/stepJob.js'
 import { SILENT_OBSERVER } from '../test/fakes/silentObserver.js'
@@ -88,7 +88,7 @@
       return scheduler
     }
     const placing = medianMilliseconds(runs, createBacklog, scheduler => { scheduler.place(1) })
-    const line = { instance: 'entry', ask: async () => ({ kind: 'failed', reason: 'not asked' }) as const }
+    const line = { instance: 'entry', request: async () => ({ kind: 'failed', reason: 'not asked' }) as const }
     const choosing = medianMilliseconds(runs, () => new EligibilityRequester(createBacklog(), () => [line], () => {}, () => 1), desk => desk.sendRequests())
     printRow([steps, placing.toFixed(2), choosing.toFixed(2)])
   }
--- a/src/cluster/clusterScheduler.ts
+++ b/src/cluster/clusterScheduler.ts
@@ -1,6 +1,6 @@
 import type { ClusterConfiguration, Queue, QueuePolicy } from '../contracts/clusterConfiguration.js'
 import type { ProgressRecord, SubmissionRecord } from '../contracts/clusterRecords.js'
-import { Job, Occurrence, restoreProgress, type Step, type Task } from './jobBook.js'
+import { Job, Occurrence, restoreProgress, type Step, type Task } from './job.js'
 import { estimateObjective, LATE_FACTOR } from './objective.js'
 import { PlacementPass, URGENT_PRIORITY, type PlannedRun } from './placementPass.js'
 import type { EndReport, WorkerEntry, WorkerReport } from './workerPort.js'
--- a/src/cluster/eligibilityRequester.ts
+++ b/src/cluster/eligibilityRequester.ts
@@ -1,6 +1,6 @@
 import type { QueuePolicy } from '../contracts/clusterConfiguration.js'
 import type { ClusterScheduler } from './clusterScheduler.js'
-import type { Step } from './jobBook.js'
+import type { Step } from './job.js'
 import { tasksFitWhenEmpty, sortByPlacementOrder } from './placementPass.js'
 import { UrgentHeadroom } from './urgentHeadroom.js'
 import type { EligibilityOutcome } from './workerPort.js'
--- a/src/cluster/placementPass.ts
+++ b/src/cluster/placementPass.ts
@@ -1,5 +1,5 @@
 import type { QueuePolicy } from '../contracts/clusterConfiguration.js'
-import type { Job, Step, Task } from './jobBook.js'
+import type { Job, Step, Task } from './job.js'
 import { FAST_WORKER_SPEED, type UrgentHeadroom } from './urgentHeadroom.js'
 import { processorsOf, type WorkerState } from './workerState.js'
 
--- a/src/cluster/workerState.ts
+++ b/src/cluster/workerState.ts
@@ -1,5 +1,5 @@
 import type { JobStep } from '../contracts/stepJob.js'
-import type { Task } from './jobBook.js'
+import type { Task } from './job.js'
 import type { WorkerEntry } from './workerPort.js'
 
 /** Weight of the latest run in the learned speed; estimates are off by up to a factor of two, so that some ten runs must tell. */
--- a/test/fuzz/clusterFaults.ts
+++ b/test/fuzz/clusterFaults.ts
@@ -1,5 +1,5 @@
 import { ClusterScheduler } from '../../src/cluster/clusterScheduler.js'
-import type { Task } from '../../src/cluster/jobBook.js'
+import type { Task } from '../../src/cluster/job.js'
 import { ProgressWriter } from '../../src/cluster/progressWriter.js'
 import { WorkerSession } from '../../src/cluster/workerSession.js'
 import { WorkerState } from '../../src/cluster/workerState.js'
