--- a/src/cluster/activeScheduler.ts
+++ b/src/cluster/activeScheduler.ts
@@ -21,66 +21,66 @@
 import { WorkerSessions } from './workerSessions.js'
 import type { WorkerState } from './workerState.js'
 
-/** Wait of a read of submissions in milliseconds, and least time between two reads. */
+/** Long-poll duration of a read of submissions, and minimum time between two reads. */
 const SUBMISSION_WAIT_MILLISECONDS = 1000
 const SUBMISSION_PERIOD_MILLISECONDS = 12
-/** Deciding takes at most this part of the time, so that the reports and questions that decisions depend on are still served. */
-const DECIDING_SHARE = 1 / 3
-/** Period of work that depends on time alone (recurring jobs, stuck runs, tickets), in milliseconds. */
+/** Maximum share of the time spent on planning, so that the reports and requests that planning depends on are still served. */
+const MAXIMUM_PLANNING_SHARE = 1 / 3
+/** Period of time-driven work (recurring jobs, stalled runs, tickets). */
 const TICK_MILLISECONDS = 100
-/** Period in which finished jobs are evicted, in milliseconds. */
+/** Period of the eviction of finished jobs. */
 const EVICTION_PERIOD_MILLISECONDS = 10_000
-/** Age of the last read of submissions beyond which an unknown job may exist, in milliseconds. The last read that was answered is up to two waits old while the next one waits. */
-const FRESH_MILLISECONDS = 2 * SUBMISSION_WAIT_MILLISECONDS + 500
+/** Age of the last read of submissions beyond which an unknown job may exist. While a long-poll read is pending, the last completed read is up to two long-poll durations old. */
+const MAXIMUM_SUBMISSIONS_AGE_MILLISECONDS = 2 * SUBMISSION_WAIT_MILLISECONDS + 500
 
-/** Answer to a question about a job. `unsure`: the job may exist without being known here yet. */
+/** Result of a query for the state of a job. `unsure`: the job may exist although this scheduler has not read it yet. */
 export type JobStateResult = JobState | 'unknown' | 'unsure'
 
 export interface ActiveSchedulerOptions {
   readonly term: number
   readonly bounds: ClusterBounds
-  /** Time of the last renewal of the role that the log has stored, in milliseconds of the monotonic clock. */
+  /** Returns the time of the last renewal of the role that the log has stored, in milliseconds of the monotonic clock. */
   readonly renewedAt: () => number
-  /** Lines to the eligibility service of all instances that can be reached. */
+  /** Returns the channels to the eligibility service through all reachable instances. */
   readonly eligibilityChannels: () => readonly EligibilityChannel[]
-  /** The role has passed to another instance. */
+  /** Called when the role has passed to another instance. */
   readonly onSuperseded: () => void
 }
 
-/** Submissions that one read has given. `storedAfter`: a time that precedes their storing, in milliseconds of the monotonic clock; undefined if none is known. */
+/** Submissions returned by one read. `storedAfter`: lower bound of the time at which they were stored, in milliseconds of the monotonic clock; undefined if unknown. */
 interface SubmissionBatch {
   readonly partition: number
   readonly records: readonly StoredRecord[]
   readonly storedAfter: number | undefined
 }
 
-/** Latest end of a worker's process that has been taken into account. */
+/** Number of the latest processed end of a worker's process. */
 interface ProcessedEnd {
   readonly number: number
   readonly bornAt: number
 }
 
-/** Acts as the scheduler during one term: follows submissions, places tasks, records progress, and orders workers. */
+/** The scheduler of the cluster during one term: follows submissions, places tasks, records progress, and sends commands to workers. */
 export class ActiveScheduler extends DisposableObject implements SchedulerObserver {
   private readonly scheduler: ClusterScheduler
   private readonly writer: ProgressWriter
-  private readonly desk: EligibilityRequester
-  private readonly submissions: TopicFollower[]
+  private readonly eligibilityRequester: EligibilityRequester
+  private readonly submissionFollowers: TopicFollower[]
   private readonly sessions: WorkerSessions
   private readonly abort = new AbortController()
   private readonly startedAt: number
-  private wake: (() => void) | undefined
-  private isWoken = false
-  private isOperating = false
-  /** Ends of runs that have been taken into account and are not recorded yet. */
+  private wakeLoop: (() => void) | undefined
+  private isRoundRequested = false
+  private isActive = false
+  /** Number of ends of runs that are processed but not recorded yet. */
   private unrecordedEnds = 0
-  /** Placements of a round whose record has to be written again. */
-  private readonly unordered: PlannedRun[] = []
-  /** Finished jobs without a submission, whose progress is to be dropped from the log. */
+  /** Runs of a round whose record must be written again before their start commands are sent. */
+  private readonly unsentRuns: PlannedRun[] = []
+  /** Finished jobs whose submission is gone from the log and whose progress must be removed as well. */
   private readonly evictedKeys: string[] = []
   private readonly retention: JobRetention
-  /** Submissions that were read before the progress of their jobs. */
-  private unprocessed: SubmissionBatch[] | undefined = []
+  /** Submissions that were read before the progress of their jobs; undefined once the progress has been read. */
+  private bufferedSubmissions: SubmissionBatch[] | undefined = []
 
   constructor (
     private readonly log: RecordLog,
@@ -99,12 +99,12 @@
       term: options.term,
       leaseMilliseconds: options.bounds.workerLeaseMilliseconds,
       renewedAt: options.renewedAt,
-      onDidChange: () => this.trigger(),
+      onDidChange: () => this.requestRound(),
       onDeposed: options.onSuperseded
     }, metrics, logger, now))
     this.retention = this.register(new JobRetention(log, logger))
-    this.desk = new EligibilityRequester(this.scheduler, options.eligibilityChannels, answer => this.onEligibilityAnswer(answer), now)
-    this.submissions = Array.from({ length: SUBMISSION_PARTITIONS }, (_, partition) => this.register(new TopicFollower(
+    this.eligibilityRequester = new EligibilityRequester(this.scheduler, options.eligibilityChannels, result => this.onEligibilityResult(result), now)
+    this.submissionFollowers = Array.from({ length: SUBMISSION_PARTITIONS }, (_, partition) => this.register(new TopicFollower(
       log,
       { topic: TOPICS.submissions, partition, waitMilliseconds: SUBMISSION_WAIT_MILLISECONDS, periodMilliseconds: () => SUBMISSION_PERIOD_MILLISECONDS },
       {
@@ -115,68 +115,68 @@
     )))
     this.register(toDisposable(() => {
       this.abort.abort()
-      this.wake?.()
+      this.wakeLoop?.()
     }))
   }
 
-  /** Takes the role over from the log; resolves once it operates, or when the role is lost. */
+  /** Takes over the role by restoring the state from the log. Resolves once the scheduler is active, or when the role is lost. */
   async takeOver (configuration: ClusterConfiguration, entries: Iterable<WorkerEntry>): Promise<void> {
     this.scheduler.configure(configuration)
     for (const entry of entries) this.setWorker(entry)
-    // What the former scheduler has placed or finished was accepted before it was shut out, so that a later read has all of it.
-    if (!await this.shutOutFormerSchedulers()) return
-    const [progress] = await Promise.all([this.readProgress(), ...this.submissions.map(async follower => await this.loadUntilDone(follower))])
+    // Every job that the former scheduler has placed or finished was accepted before it was fenced, so a later read returns all of them.
+    if (!await this.fenceFormerSchedulers()) return
+    const [progress] = await Promise.all([this.readProgress(), ...this.submissionFollowers.map(async follower => await this.loadSubmissions(follower))])
     if (this.isDisposed) return
-    this.applyUnprocessed(progress)
-    this.isOperating = true
-    for (const follower of this.submissions) follower.follow()
+    this.applyBufferedSubmissions(progress)
+    this.isActive = true
+    for (const follower of this.submissionFollowers) follower.follow()
     for (const worker of this.scheduler.workers.values()) this.sessions.open(worker)
     this.registerInterval(() => this.onTick(), TICK_MILLISECONDS)
-    this.registerInterval(() => this.evict(), EVICTION_PERIOD_MILLISECONDS)
-    const open = [...this.scheduler.jobs.values()].filter(job => !job.isFinal)
-    const restored = open.filter(job => progress.has(job.identity)).length
-    this.logger.info('acting as scheduler', { term: this.options.term, count: this.scheduler.jobs.size, reason: `${open.length} jobs are not finished, ${restored} of them have recorded progress`, durationMilliseconds: Math.round(this.now() - this.startedAt) })
+    this.registerInterval(() => this.dropFinishedJobs(), EVICTION_PERIOD_MILLISECONDS)
+    const unfinished = [...this.scheduler.jobs.values()].filter(job => !job.isFinal)
+    const restored = unfinished.filter(job => progress.has(job.identity)).length
+    this.logger.info('acting as scheduler', { term: this.options.term, count: this.scheduler.jobs.size, reason: `${unfinished.length} jobs are not finished, ${restored} of them have recorded progress`, durationMilliseconds: Math.round(this.now() - this.startedAt) })
     this.metrics.takeover(this.now() - this.startedAt)
-    this.recordAndOrder()
-    this.trigger()
+    this.runRounds()
+    this.requestRound()
   }
 
   setConfiguration (configuration: ClusterConfiguration): void {
     this.scheduler.configure(configuration)
-    this.trigger()
+    this.requestRound()
   }
 
-  /** Takes over the registry's entry of a worker. */
+  /** Adds or updates a worker from its registry entry. */
   setWorker (entry: WorkerEntry): void {
     const worker = this.scheduler.upsertWorker(entry)
     this.sessions.get(entry.identity)?.setAddress(entry.address)
-    if (this.isOperating) this.sessions.open(worker)
-    this.trigger()
+    if (this.isActive) this.sessions.open(worker)
+    this.requestRound()
   }
 
-  /** Takes note that the registry has dropped a worker. */
+  /** Handles the removal of a worker from the registry. */
   removeWorker (identity: string): void {
     this.scheduler.unlistWorker(identity)
     this.sessions.closeIfUnknown(identity)
   }
 
-  /** State of a job for callers. */
+  /** Returns the state of a job as shown to callers. */
   stateOf (identity: string): JobStateResult {
-    if (!this.isOperating) return 'unsure'
+    if (!this.isActive) return 'unsure'
     const job = this.scheduler.jobs.get(identity)
     if (job !== undefined) return job.visibleState
-    return this.isFresh() ? 'unknown' : 'unsure'
+    return this.areSubmissionsFresh() ? 'unknown' : 'unsure'
   }
 
-  /** Jobs of a queue of which no task has started; undefined while that is not known. */
+  /** Returns the number of jobs of a queue of which no task has started; undefined while that is not known. */
   countWaitingJobs (queue: string): number | undefined {
-    const count = this.isOperating && this.isFresh() ? this.scheduler.countWaitingJobs(queue) : undefined
-    const open = [...this.scheduler.jobs.values()].filter(job => job.submission.queue === queue && !job.isFinal).length
-    this.logger.info('waiting jobs counted', { queue, count, term: this.options.term, reason: `${open} jobs of the queue are not finished; submissions were read ${Math.round(this.submissionsAge())} ms ago` })
+    const count = this.isActive && this.areSubmissionsFresh() ? this.scheduler.countWaitingJobs(queue) : undefined
+    const unfinished = [...this.scheduler.jobs.values()].filter(job => job.submission.queue === queue && !job.isFinal).length
+    this.logger.info('waiting jobs counted', { queue, count, term: this.options.term, reason: `${unfinished} jobs of the queue are not finished; submissions were read ${Math.round(this.submissionsAge())} ms ago` })
     return count
   }
 
-  /** Numbers for metrics. */
+  /** Counts shown as metrics. */
   get counts (): { jobs: number, readySteps: number, workers: number, unrecordedEnds: number } {
     return { jobs: this.scheduler.jobs.size, readySteps: this.scheduler.readySteps.size, workers: this.scheduler.workers.size, unrecordedEnds: this.unrecordedEnds }
   }
@@ -197,7 +197,7 @@
   }
 
   onDidFindOrphanedRun (worker: WorkerState, task: string, run: number): void {
-    this.logger.warn('a worker runs what it should not; it is told to stop', { worker: worker.identity, task, count: run })
+    this.logger.warn('worker has an orphaned run; the run is stopped', { worker: worker.identity, task, count: run })
   }
 
   onDidLoseRun (worker: WorkerState, task: Task): void {
@@ -208,29 +208,29 @@
     this.logger.warn('end of a run that the task has no more', { worker: worker.identity, task: task.name, count: end.run, code: end.kind, reason: `the task is ${task.phase} with run ${task.run} on ${task.worker === '' ? 'no worker' : task.worker}` })
   }
 
-  private isFresh (): boolean {
-    return this.submissionsAge() < FRESH_MILLISECONDS
+  private areSubmissionsFresh (): boolean {
+    return this.submissionsAge() < MAXIMUM_SUBMISSIONS_AGE_MILLISECONDS
   }
 
-  /** Time since the submissions were read, of the partition that was read longest ago, in milliseconds. */
+  /** Returns the time since the last read of the partition that was read longest ago, in milliseconds. */
   private submissionsAge (): number {
-    return this.now() - Math.min(...this.submissions.map(follower => follower.currentAsOf ?? -Infinity))
+    return this.now() - Math.min(...this.submissionFollowers.map(follower => follower.currentAsOf ?? -Infinity))
   }
 
-  private applyUnprocessed (progress: ReadonlyMap<string, ProgressRecord>): void {
-    const unprocessed = this.unprocessed ?? []
-    this.unprocessed = undefined
-    for (const batch of unprocessed) this.applySubmissions(batch, progress)
+  private applyBufferedSubmissions (progress: ReadonlyMap<string, ProgressRecord>): void {
+    const batches = this.bufferedSubmissions ?? []
+    this.bufferedSubmissions = undefined
+    for (const batch of batches) this.applySubmissions(batch, progress)
   }
 
-  /** Resolves with false if the role is lost. */
-  private async shutOutFormerSchedulers (): Promise<boolean> {
+  /** Fences the writers of former terms. Resolves with false if the role is lost. */
+  private async fenceFormerSchedulers (): Promise<boolean> {
     const fenced = await this.writer.fence()
     if (fenced === 'fenced') this.options.onSuperseded()
     return fenced === 'stored'
   }
 
-  /** All progress; complete only once the writers of former terms are shut out. */
+  /** Reads all progress from the log; complete only once the writers of former terms are fenced. */
   private async readProgress (): Promise<Map<string, ProgressRecord>> {
     const found = new Map<string, ProgressRecord>()
     while (!this.isDisposed) {
@@ -248,13 +248,13 @@
     return found
   }
 
-  private async loadUntilDone (follower: TopicFollower): Promise<void> {
+  private async loadSubmissions (follower: TopicFollower): Promise<void> {
     while (!this.isDisposed && !await follower.load()) await delay(TICK_MILLISECONDS, this.abort.signal)
   }
 
   private onSubmissions (batch: SubmissionBatch): void {
-    if (this.unprocessed === undefined) this.applySubmissions(batch, new Map())
-    else this.unprocessed.push(batch)
+    if (this.bufferedSubmissions === undefined) this.applySubmissions(batch, new Map())
+    else this.bufferedSubmissions.push(batch)
   }
 
   private applySubmissions ({ partition, records, storedAfter }: SubmissionBatch, progress: ReadonlyMap<string, ProgressRecord>): void {
@@ -268,7 +268,7 @@
       if (isCancelKey(key)) this.onCancel(jobOfCancelKey(key), now)
       else if (!this.scheduler.jobs.has(key)) this.scheduler.addJob(key, decodeRecord<SubmissionRecord>(value), now, { progress: progress.get(key), storedAfter })
     }
-    this.trigger()
+    this.requestRound()
   }
 
   private onCancel (job: string, now: number): void {
@@ -281,57 +281,57 @@
     this.scheduler.observeLoad()
     this.scheduler.openDueOccurrences(now, Date.now())
     for (const task of this.scheduler.stopStalledRuns(now)) this.logger.warn('run makes no progress; it is stopped', { task: task.name, worker: task.worker, count: task.run, reason: `${task.percent} percent` })
-    this.trigger()
+    this.requestRound()
   }
 
-  private evict (): void {
+  private dropFinishedJobs (): void {
     this.retention.drop(this.scheduler.findJobsFinishedBefore(this.now() - this.options.bounds.stateRetentionMilliseconds))
   }
 
-  /** A submission has been dropped from the log. Its progress follows, because without it a copy that is left would be a new job. */
+  /** Handles a submission that was removed from the log. The progress is removed only once no copy of the submission is left: a copy without progress would be a new job. */
   private onDropped (key: string, partition: number): void {
     if (!this.retention.onDropped(key, partition) || isCancelKey(key) || !this.scheduler.removeFinishedJob(key)) return
     this.evictedKeys.push(key)
   }
 
-  private onEligibilityAnswer (answer: EligibilityRequestResult): void {
-    const { step, instance, requestedCount: asked, eligibleCount: named, durationMilliseconds, reason } = answer
-    if (reason === '') this.logger.info('eligible workers are known', { task: step, peer: instance, count: named, reason: `${asked} asked about`, durationMilliseconds })
-    else this.logger.warn('the eligibility service did not answer', { task: step, peer: instance, reason, durationMilliseconds })
-    this.trigger()
+  private onEligibilityResult (result: EligibilityRequestResult): void {
+    const { step, instance, requestedCount, eligibleCount, durationMilliseconds, reason } = result
+    if (reason === '') this.logger.info('eligible workers are known', { task: step, peer: instance, count: eligibleCount, reason: `${requestedCount} requested`, durationMilliseconds })
+    else this.logger.warn('the eligibility service did not respond', { task: step, peer: instance, reason, durationMilliseconds })
+    this.requestRound()
   }
 
-  private trigger (): void {
-    this.isWoken = true
-    this.wake?.()
+  private requestRound (): void {
+    this.isRoundRequested = true
+    this.wakeLoop?.()
   }
 
-  /** Places, records and orders, one append at a time, until disposed. */
-  private async recordAndOrder (): Promise<void> {
+  /** Runs rounds of planning, recording and sending commands until disposed; at most one append is pending at a time. */
+  private async runRounds (): Promise<void> {
     while (!this.isDisposed) {
-      if (!this.isWoken) await new Promise<void>(resolve => { this.wake = resolve })
-      this.wake = undefined
+      if (!this.isRoundRequested) await new Promise<void>(resolve => { this.wakeLoop = resolve })
+      this.wakeLoop = undefined
       if (this.isDisposed) return
-      this.isWoken = false
+      this.isRoundRequested = false
       const startedAt = this.now()
-      const planned = this.decide(startedAt)
-      const decidingMilliseconds = this.now() - startedAt
-      await this.recordRound(planned, startedAt)
-      const pause = decidingMilliseconds / DECIDING_SHARE - (this.now() - startedAt)
+      const planned = this.planRound(startedAt)
+      const planningMilliseconds = this.now() - startedAt
+      await this.recordAndStart(planned, startedAt)
+      const pause = planningMilliseconds / MAXIMUM_PLANNING_SHARE - (this.now() - startedAt)
       if (pause >= 1) await delay(pause, this.abort.signal)
     }
   }
 
-  /** Chooses the runs of a round, and sends stops and questions. */
-  private decide (now: number): PlannedRun[] {
-    const planned = [...this.unordered.splice(0), ...this.scheduler.place(now)]
+  /** Plans the runs of a round, and sends stop commands and eligibility requests. */
+  private planRound (now: number): PlannedRun[] {
+    const planned = [...this.unsentRuns.splice(0), ...this.scheduler.place(now)]
     this.sendStops(this.scheduler.takeStops())
-    this.desk.sendRequests()
+    this.eligibilityRequester.sendRequests()
     return planned
   }
 
-  /** Records what has changed; then acknowledges the ends that it covers and orders the runs. */
-  private async recordRound (planned: readonly PlannedRun[], startedAt: number): Promise<void> {
+  /** Records changed progress, then acknowledges the ends covered by the record and sends the start commands. */
+  private async recordAndStart (planned: readonly PlannedRun[], startedAt: number): Promise<void> {
     const jobs = [...this.scheduler.unrecordedJobs]
     const evicted = this.evictedKeys.splice(0)
     if (jobs.length === 0 && evicted.length === 0) {
@@ -351,18 +351,18 @@
       return
     }
     if (outcome === 'behind') {
-      this.logger.error('the log lacks progress that was taken for recorded; all of it is written again', { term: this.options.term, count: this.scheduler.jobs.size })
+      this.logger.error('the log lacks progress that was assumed to be recorded; all progress is written again', { term: this.options.term, count: this.scheduler.jobs.size })
       for (const job of this.scheduler.jobs.values()) this.scheduler.unrecordedJobs.add(job)
-      this.unordered.push(...planned)
+      this.unsentRuns.push(...planned)
       this.evictedKeys.push(...evicted)
-      this.trigger()
+      this.requestRound()
       return
     }
     this.metrics.recorded(this.now() - startedAt)
     this.unrecordedEnds -= endCount
     jobs.forEach((job, index) => this.scheduler.onRecorded(job, states[index] as JobState))
     this.acknowledgeEnds(ends)
-    for (const run of planned) this.order(run)
+    for (const run of planned) this.startRun(run)
   }
 
   private processedEnds (): Map<WorkerState, ProcessedEnd> {
@@ -373,10 +373,10 @@
     return ends
   }
 
-  /** Ends whose effect is in the log may be forgotten by their workers. */
+  /** Allows the workers to discard ends whose effect is in the log. */
   private acknowledgeEnds (ends: ReadonlyMap<WorkerState, ProcessedEnd>): void {
     for (const [worker, { number, bornAt }] of ends) {
-      // A new process of the worker counts its ends anew.
+      // A new process of the worker numbers its ends from 1 again.
       if (bornAt !== worker.processStartedAt) continue
       worker.recordedEnd = number
       this.sessions.get(worker.identity)?.onRecorded()
@@ -387,7 +387,7 @@
     for (const { worker, task, run } of stops) this.sessions.get(worker)?.stop(task, run)
   }
 
-  private async order ({ task, run, worker, ticket }: PlannedRun): Promise<void> {
+  private async startRun ({ task, run, worker, ticket }: PlannedRun): Promise<void> {
     const session = this.sessions.get(worker.identity)
     if (session === undefined || !this.scheduler.beginStart(task, run, this.now())) return
     const sentAt = this.now()
@@ -402,7 +402,7 @@
         break
       case 'unknown':
         this.scheduler.onStartOutcome(task, run, 'uncertain', this.now())
-        await this.settle(session, task, run)
+        await this.resolveUncertainStart(session, task, run)
         break
       case 'refused':
         if (outcome.reason === 'ticket') discardTicket(task.step, worker.identity)
@@ -411,11 +411,11 @@
       default:
         this.scheduler.onStartOutcome(task, run, 'notStarted', this.now())
     }
-    this.trigger()
+    this.requestRound()
   }
 
-  /** Finds out whether an unanswered start was carried out; if it was not, keeps it from being carried out later. */
-  private async settle (session: WorkerSession, task: Task, run: number): Promise<void> {
+  /** Determines whether a start without a response was executed; if not, stops the run so that the command cannot be executed later. */
+  private async resolveUncertainStart (session: WorkerSession, task: Task, run: number): Promise<void> {
     await session.lookNow()
     if (task.phase === 'uncertain' && task.run === run) await session.stop(task.name, run)
   }
--- a/src/cluster/clusterScheduler.ts
+++ b/src/cluster/clusterScheduler.ts
@@ -7,36 +7,36 @@
 import { UrgentHeadroom } from './urgentHeadroom.js'
 import { WorkerState } from './workerState.js'
 
-/** Time without progress after which a run counts as stuck, in milliseconds; a slow task of 16 s still advances by a percent in a fifth of it. */
-const STUCK_RUN_MILLISECONDS = 3500
+/** Time without progress after which a run counts as stalled; a slow task of 16 s still advances by one percent in a fifth of it. */
+const STALLED_RUN_TIMEOUT_MILLISECONDS = 3500
 
-/** Time after which the stop of a stray run is ordered again, in milliseconds; longer than a worker takes to stop one. */
-const STRAY_STOP_PERIOD_MILLISECONDS = 1500
+/** Time after which the stop command for an orphaned run is repeated; longer than a worker takes to stop a run. */
+const ORPHAN_STOP_RETRY_MILLISECONDS = 1500
 
-/** Greatest age that a job is taken to have when only its time of acceptance tells, in milliseconds. */
-const MAXIMUM_ADOPTED_AGE_MILLISECONDS = 60_000
+/** Upper bound on the assumed age of a job when its age is known only from the acceptance time. */
+const MAXIMUM_ASSUMED_AGE_MILLISECONDS = 60_000
 
-/** What the scheduler tells about its decisions. */
+/** Receives the events of the scheduler. */
 export interface SchedulerObserver {
   onDidFinishJob (job: Job): void
   onDidEndRun (task: Task, worker: WorkerState, kind: EndReport['kind'], durationMilliseconds: number): void
   onDidQuarantine (worker: WorkerState): void
   onDidFindOrphanedRun (worker: WorkerState, task: string, run: number): void
-  /** A worker does not list a run that was placed there, and it cannot come to be any more. */
+  /** A worker does not list a run that was placed there, and the run can no longer start. */
   onDidLoseRun (worker: WorkerState, task: Task): void
-  /** An end was reported of a run that the task has no more. */
+  /** A worker has reported the end of a run that is no longer the current run of its task. */
   onDidIgnoreRunEnd (worker: WorkerState, end: EndReport, task: Task): void
 }
 
-/** What is known of a job beside its submission. */
+/** Information about a job in addition to its submission. */
 export interface AddJobOptions {
-  /** Progress that a former scheduler has recorded. */
+  /** Progress recorded by a former scheduler. */
   readonly progress?: ProgressRecord
-  /** A time that precedes the storing of its submission, in milliseconds of the monotonic clock. */
+  /** Lower bound of the time at which the submission was stored, in milliseconds of the monotonic clock. */
   readonly storedAfter?: number
 }
 
-/** A run that is to be stopped. */
+/** A run to be stopped. */
 export interface PlannedStop {
   readonly worker: string
   readonly task: string
@@ -44,18 +44,19 @@
 }
 
 /**
- * Decides where tasks run. Pure: it receives observations and the time, and keeps lists of what is to be done.
+ * Decides where tasks run. Performs no I/O: it receives observations and the current time, and collects the actions to take.
  * Times are milliseconds of the monotonic clock unless stated otherwise.
  */
 export class ClusterScheduler {
   readonly jobs = new Map<string, Job>()
   readonly workers = new Map<string, WorkerState>()
-  /** Jobs whose progress has changed since it was last recorded. */
+  /** Jobs whose progress has changed since the last record. */
   readonly unrecordedJobs = new Set<Job>()
-  /** Steps with tasks that wait and whose earlier steps are done. */
+  /** Steps whose dependencies are done and that have waiting tasks. */
   readonly readySteps = new Set<Step>()
-  private readonly cancelledEarly = new Set<string>()
-  /** Room that is kept for urgent work. */
+  /** Jobs whose cancellation was received before their submission. */
+  private readonly cancelledBeforeAdd = new Set<string>()
+  /** Capacity reserved for urgent work. */
   readonly headroom = new UrgentHeadroom()
   private plannedStops: PlannedStop[] = []
   private configuration: ClusterConfiguration | undefined
@@ -63,7 +64,7 @@
 
   constructor (private readonly observer: SchedulerObserver) {}
 
-  /** Takes over a configuration; an older one than the current is ignored. */
+  /** Applies a configuration unless it is older than the current one. */
   configure (configuration: ClusterConfiguration): void {
     if (this.configuration !== undefined && configuration.revision <= this.configuration.revision) return
     this.configuration = configuration
@@ -71,12 +72,12 @@
     for (const queue of configuration.queues) this.queues.set(queue.name, queue)
   }
 
-  /** Policy of a job: that of its queue or, while the configuration does not name the queue, that of its acceptance. */
+  /** Returns the policy of the job's queue or, while the queue is not configured, the policy at the job's acceptance. */
   policyOf (job: Job): QueuePolicy {
     return this.queues.get(job.submission.queue) ?? job.acceptedPolicy
   }
 
-  /** Adds a worker or takes over its new entry. Returns its state. */
+  /** Adds a worker or updates its entry. Returns its state. */
   upsertWorker (entry: WorkerEntry): WorkerState {
     const known = this.workers.get(entry.identity)
     if (known !== undefined) {
@@ -89,7 +90,7 @@
     return worker
   }
 
-  /** Notes that the registry no longer lists a worker. What runs there is given up only when its lease has ended. */
+  /** Marks a worker as no longer listed by the registry. Its runs are abandoned only after their leases have expired. */
   unlistWorker (identity: string): void {
     const worker = this.workers.get(identity)
     if (worker === undefined) return
@@ -97,7 +98,7 @@
     if (worker.runs.size === 0) this.workers.delete(identity)
   }
 
-  /** Adds a job that the log holds. A repeat is ignored. */
+  /** Adds a job that is stored in the log. Duplicates are ignored. */
   addJob (identity: string, submission: SubmissionRecord, now: number, { progress, storedAfter }: AddJobOptions = {}): Job {
     const known = this.jobs.get(identity)
     if (known !== undefined) return known
@@ -106,42 +107,42 @@
     if (progress !== undefined) restoreProgress(job, progress)
     const policy = this.policyOf(job)
     job.isUrgent = policy.priority === URGENT_PRIORITY
-    // The time of day of two instances may differ by seconds; what the monotonic clock says limits the error.
-    const maximumAge = storedAfter === undefined ? MAXIMUM_ADOPTED_AGE_MILLISECONDS : now - storedAfter
+    // The wall clocks of two instances may differ by seconds; the monotonic clock bounds the error.
+    const maximumAge = storedAfter === undefined ? MAXIMUM_ASSUMED_AGE_MILLISECONDS : now - storedAfter
     const age = Math.min(maximumAge, Math.max(0, Date.now() - submission.acceptedAt))
     const objective = estimateObjective(submission.job, policy)
     job.objectiveAt = now - age + objective
     job.lateUntil = now - age + LATE_FACTOR * objective
     if (job.isFinal) {
-      // The record does not say when the job finished.
+      // The record does not contain the finishing time.
       job.finishedAt = now
     } else {
       for (const task of job.tasks()) this.adoptRestoredRun(task)
       this.openDueOccurrencesOfJob(job, now, Date.now())
       for (const occurrence of job.occurrences.values()) this.openReadySteps(occurrence, now)
     }
-    if (this.cancelledEarly.delete(identity)) this.cancelJob(identity, now)
+    if (this.cancelledBeforeAdd.delete(identity)) this.cancelJob(identity, now)
     return job
   }
 
-  /** Cancels a job; its runs are stopped. A cancel of a job that is not known yet takes effect when it arrives. */
+  /** Cancels a job and stops its runs. The cancellation of an unknown job takes effect when the job is added. */
   cancelJob (identity: string, now: number): void {
     const job = this.jobs.get(identity)
     if (job === undefined) {
-      this.cancelledEarly.add(identity)
+      this.cancelledBeforeAdd.add(identity)
       return
     }
     if (!job.isFinal) this.finish(job, 'cancelled', undefined, now)
   }
 
-  /** Runs that are to be stopped since the last call. */
+  /** Returns the stops planned since the last call. */
   takeStops (): PlannedStop[] {
     const stops = this.plannedStops
     this.plannedStops = []
     return stops
   }
 
-  /** Number of jobs without recurrence of a queue of which no task has started. */
+  /** Returns the number of non-recurring jobs of a queue of which no task has started. */
   countWaitingJobs (queue: string): number {
     let count = 0
     for (const job of this.jobs.values()) {
@@ -150,19 +151,19 @@
     return count
   }
 
-  /** Takes note of how much room urgent work uses; to be called every 100 ms. */
+  /** Samples the capacity that urgent work uses; must be called every 100 ms. */
   observeLoad (): void {
     this.headroom.observe(this.workers.values())
   }
 
-  /** Opens occurrences that are due. `unixMilliseconds` is the time of day. */
+  /** Opens the occurrences of recurring jobs that are due. `unixMilliseconds` is the wall clock time. */
   openDueOccurrences (now: number, unixMilliseconds: number): void {
     for (const job of this.jobs.values()) {
       if (!job.isFinal && job.submission.job.occurrences > 0) this.openDueOccurrencesOfJob(job, now, unixMilliseconds)
     }
   }
 
-  /** Chooses runs for tasks that wait. The runs have room from now on; each is to be recorded before it is ordered. */
+  /** Places waiting tasks and allocates capacity for their runs. Each run must be recorded before its start command is sent. */
   place (now: number): PlannedRun[] {
     const pass = new PlacementPass([...this.readySteps], this.workers, step => this.policyOf(step.job), this.headroom, now)
     const planned = pass.run()
@@ -170,7 +171,7 @@
     return planned
   }
 
-  /** Notes that the start of a placed run is being sent; false if it is no longer wanted. */
+  /** Marks a placed run as starting, before its start command is sent. Returns false if the run is no longer wanted. */
   beginStart (task: Task, run: number, now: number): boolean {
     if (task.phase !== 'placed' || task.run !== run) return false
     task.phase = 'starting'
@@ -178,7 +179,7 @@
     return true
   }
 
-  /** Notes the outcome of a start order. */
+  /** Handles the outcome of a start command. */
   onStartOutcome (task: Task, run: number, outcome: 'started' | 'notStarted' | 'uncertain', now: number): void {
     if (task.run !== run || task.phase !== 'starting') return
     if (outcome === 'uncertain') {
@@ -192,17 +193,17 @@
     this.onRunning(task, now)
   }
 
-  /** Notes that a worker has confirmed a stop: a look sent later shows whether the run is gone. */
+  /** Handles the confirmation of a stop: a poll sent later shows whether the run still exists. */
   onStopConfirmed (worker: string, taskName: string, run: number, now: number): void {
     const task = this.workers.get(worker)?.runs.get(taskName)
     if (task !== undefined && task.run === run) task.stopConfirmedAt = now
   }
 
-  /** Takes a worker's report into account. `sentAt` is when the look was sent. `wasKnown` is false for the first report under a term. */
+  /** Applies the report of a worker. `sentAt` is the time at which the poll was sent. */
   onReport (identity: string, report: WorkerReport, sentAt: number, now: number): void {
     const worker = this.workers.get(identity)
     if (worker === undefined) return
-    // A report of a former process, overtaken by one of the present process.
+    // A delayed report of a former process: a later poll has already reached the current process.
     if (report.bornAt !== worker.processStartedAt && sentAt < worker.processSeenAt) return
     const isFirst = !worker.hasReported
     if (report.bornAt !== worker.processStartedAt) {
@@ -219,9 +220,9 @@
     }
     const listed = new Set<string>()
     worker.hasOrphanedRuns = false
-    for (const row of report.running) {
-      listed.add(row.task)
-      this.onRunningRow(worker, row.task, row.run, row.checkpoint, row.percent, now)
+    for (const running of report.running) {
+      listed.add(running.task)
+      this.onRunReported(worker, running.task, running.run, running.checkpoint, running.percent, now)
     }
     if (!worker.hasOrphanedRuns) worker.orphanStopTimes.clear()
     for (const task of [...worker.runs.values()]) {
@@ -232,13 +233,13 @@
     }
   }
 
-  /** Notes that a look has failed. */
+  /** Marks a worker as unresponsive after a failed poll. */
   onPollFailed (identity: string): void {
     const worker = this.workers.get(identity)
     if (worker !== undefined) worker.isUnresponsive = true
   }
 
-  /** Notes that nothing can be running on a worker any more: its process has ended, or every lease has. */
+  /** Abandons the runs of a worker whose process has exited or whose leases have all expired. */
   onWorkerLost (identity: string): void {
     const worker = this.workers.get(identity)
     if (worker === undefined) return
@@ -246,27 +247,27 @@
     if (!worker.isListed) this.workers.delete(identity)
   }
 
-  /** Runs that make no progress are stopped, to be started again elsewhere. */
+  /** Stops runs that make no progress, so that their tasks are placed again. Returns the tasks. */
   stopStalledRuns (now: number): Task[] {
-    const stuck: Task[] = []
+    const stalled: Task[] = []
     for (const worker of this.workers.values()) {
       if (worker.isUnresponsive) continue
       for (const task of worker.runs.values()) {
         if (task.phase !== 'running' || task.step.specification.longRunning) continue
         // A gang member that has finished waits for the others at 100 percent.
-        if (task.percent < 100 && now - task.progressedAt > STUCK_RUN_MILLISECONDS) stuck.push(task)
+        if (task.percent < 100 && now - task.progressedAt > STALLED_RUN_TIMEOUT_MILLISECONDS) stalled.push(task)
       }
     }
-    for (const task of stuck) this.stopRun(task)
-    return stuck
+    for (const task of stalled) this.stopRun(task)
+    return stalled
   }
 
-  /** Notes that a job's progress up to its last change is in the log. */
+  /** Stores the state of a job that the log now holds. */
   onRecorded (job: Job, state: Job['state']): void {
     job.recordedState = state
   }
 
-  /** Identities of jobs that finished before a time, as far as the log holds their final state. */
+  /** Returns the identities of jobs that finished before a time and whose final state is in the log. */
   findJobsFinishedBefore (time: number): string[] {
     const found: string[] = []
     for (const job of this.jobs.values()) {
@@ -275,12 +276,12 @@
     return found
   }
 
-  /** Forgets a job if it is finished; returns whether it was. */
+  /** Removes a job if it is finished. Returns true if it was. */
   removeFinishedJob (identity: string): boolean {
     return this.jobs.get(identity)?.isFinal === true && this.jobs.delete(identity)
   }
 
-  /** A new process counts its ends anew. Runs may have been started on it before its first report: the report tells which are left. */
+  /** Resets the end counters, because a new process numbers its ends from 1. Keeps the runs: some may have been started on the new process before its first report, and that report shows which exist. */
   private onWorkerRestarted (worker: WorkerState): void {
     worker.processedEnd = 0
     worker.recordedEnd = 0
@@ -308,7 +309,7 @@
 
   private adoptRestoredRun (task: Task): void {
     if (task.phase !== 'uncertain') return
-    // A worker that the registry has dropped may still be running the task until its lease ends.
+    // A worker that the registry no longer lists may still run the task until its lease expires.
     const worker = this.workers.get(task.worker) ?? this.addUnlistedWorker(task)
     worker.allocate(task)
   }
@@ -339,8 +340,8 @@
   }
 
   /**
-   * Notes that a worker has shown a run of one of the job's tasks. The recorded placement does not prove a start, because it
-   * precedes the order: a successor takes the job for running only if the log says so.
+   * Marks a job as running once a worker has reported a run of one of its tasks. A recorded placement does not prove a start,
+   * because it is written before the start command: a successor treats a job as running only if the log says so.
    */
   private markStarted (job: Job): void {
     if (job.state !== 'pending') return
@@ -348,10 +349,10 @@
     this.unrecordedJobs.add(job)
   }
 
-  private onRunningRow (worker: WorkerState, taskName: string, run: number, checkpoint: string, percent: number, now: number): void {
+  private onRunReported (worker: WorkerState, taskName: string, run: number, checkpoint: string, percent: number, now: number): void {
     const task = worker.runs.get(taskName)
     if (task === undefined || task.run !== run) {
-      if (!this.isDoneRun(taskName, run)) this.stopStrayRun(worker, taskName, run, now)
+      if (!this.isDoneRun(taskName, run)) this.stopOrphanedRun(worker, taskName, run, now)
       return
     }
     if (checkpoint !== '') task.checkpoint = checkpoint
@@ -361,35 +362,35 @@
     task.progressedAt = now
   }
 
-  /** Orders the stop of a run that no job accounts for. The run is listed until it has stopped. */
-  private stopStrayRun (worker: WorkerState, taskName: string, run: number, now: number): void {
+  /** Plans the stop of a run that belongs to no task. The worker lists the run until it has stopped. */
+  private stopOrphanedRun (worker: WorkerState, taskName: string, run: number, now: number): void {
     worker.hasOrphanedRuns = true
     const key = `${taskName}/${run}`
-    const orderedAt = worker.orphanStopTimes.get(key)
-    if (orderedAt !== undefined && now - orderedAt < STRAY_STOP_PERIOD_MILLISECONDS) return
+    const requestedAt = worker.orphanStopTimes.get(key)
+    if (requestedAt !== undefined && now - requestedAt < ORPHAN_STOP_RETRY_MILLISECONDS) return
     worker.orphanStopTimes.set(key, now)
     this.observer.onDidFindOrphanedRun(worker, taskName, run)
     this.plannedStops.push({ worker: worker.identity, task: taskName, run })
   }
 
-  /** Whether a task is known to be done by this run: the end of another gang member, or a later report, has told so first. */
+  /** Returns true if a task was completed by this run, as shown earlier by the end of another gang member or by a later report. */
   private isDoneRun (taskName: string, run: number): boolean {
-    const task = this.taskNamed(taskName)
+    const task = this.findTask(taskName)
     return task !== undefined && task.phase === 'done' && task.run === run
   }
 
-  /** The task of a name if its job is not final and it is not done. */
-  private openTask (taskName: string): Task | undefined {
-    const task = this.taskNamed(taskName)
+  /** Returns the task with this name unless it is done or its job is final. */
+  private findUnfinishedTask (taskName: string): Task | undefined {
+    const task = this.findTask(taskName)
     return task === undefined || task.step.job.isFinal || task.phase === 'done' ? undefined : task
   }
 
-  private taskNamed (taskName: string): Task | undefined {
+  private findTask (taskName: string): Task | undefined {
     const [identity, occurrence, step, index] = taskName.split('.')
     return this.jobs.get(identity ?? '')?.occurrences.get(Number(occurrence))?.steps[Number(step)]?.tasks[Number(index)]
   }
 
-  /** Whether a run that a report does not list can no longer come to be. */
+  /** Returns true if a run that a report does not list can no longer start. */
   private isRunAbsent (task: Task, isFirstReport: boolean, sentAt: number): boolean {
     if (task.phase === 'placed') return false
     if (isFirstReport && task.phase === 'uncertain') return true
@@ -400,8 +401,8 @@
   private onEnd (worker: WorkerState, end: EndReport, now: number): void {
     const task = worker.runs.get(end.task)
     if (task === undefined || task.run !== end.run) {
-      const open = this.openTask(end.task)
-      if (open !== undefined) this.observer.onDidIgnoreRunEnd(worker, end, open)
+      const unfinished = this.findUnfinishedTask(end.task)
+      if (unfinished !== undefined) this.observer.onDidIgnoreRunEnd(worker, end, unfinished)
       return
     }
     if (end.checkpoint !== '') task.checkpoint = end.checkpoint
@@ -423,7 +424,7 @@
     const step = task.step
     const job = step.job
     this.unrecordedJobs.add(job)
-    // A gang ends together, so that the end of one member stands for all.
+    // The members of a gang finish together, so the end of one member applies to all.
     const ended = step.specification.gang ? step.tasks : [task]
     for (const member of ended) this.markDone(member)
     if (job.isFinal || !step.isDone) return
@@ -465,7 +466,7 @@
     this.observer.onDidFinishJob(job)
   }
 
-  /** Stops a run; one whose order has not been sent is given up at once. */
+  /** Stops a run; a run whose start command has not been sent is abandoned at once. */
   private stopRun (task: Task): void {
     if (task.phase === 'placed') {
       this.workers.get(task.worker)?.release(task)
@@ -477,7 +478,7 @@
     this.plannedStops.push({ worker: task.worker, task: task.name, run: task.run })
   }
 
-  /** Notes that a run does not exist any more; the task waits again. A gang is started again as a whole. */
+  /** Returns the task of a run that no longer exists to the waiting tasks. A gang is restarted as a whole. */
   private giveUpRun (task: Task): void {
     this.workers.get(task.worker)?.release(task)
     if (task.phase === 'done') return
--- a/src/cluster/job.ts
+++ b/src/cluster/job.ts
@@ -4,10 +4,10 @@
 
 /**
  * Phase of a task.
- * - `placed`: has room on a worker; the placement is not recorded yet and no order has been sent.
- * - `starting`: a start order may be carried out.
- * - `uncertain`: the start's outcome is unknown, or a former scheduler placed it; it may run.
- * - `stopping`: is to be stopped; it may still run.
+ * - `placed`: has capacity on a worker; the placement is not recorded yet and no start command has been sent.
+ * - `starting`: a start command has been sent and may be executed.
+ * - `uncertain`: the outcome of the start is unknown, or a former scheduler placed the task; it may be running.
+ * - `stopping`: must be stopped; it may still be running.
  */
 export type TaskPhase = 'waiting' | 'placed' | 'starting' | 'uncertain' | 'running' | 'stopping' | 'done'
 
@@ -20,10 +20,10 @@
   failures = 0
   checkpoint = ''
   percent = 0
-  /** When `percent` last changed, on the scheduler's monotonic clock in milliseconds. */
+  /** Time of the last change of `percent`, in milliseconds of the monotonic clock. */
   progressedAt = 0
   startedAt = 0
-  /** When a stop was confirmed by the worker; reports sent later show whether the run is gone. */
+  /** Time at which the worker confirmed a stop; the response to a poll sent later shows whether the run still exists. */
   stopConfirmedAt = Infinity
 
   constructor (readonly step: Step, readonly index: number) {}
@@ -32,24 +32,24 @@
     return `${this.step.name}.${this.index}`
   }
 
-  /** A run may exist on `worker`. */
+  /** True if a run may exist on `worker`. */
   get hasRun (): boolean {
     return this.phase !== 'waiting' && this.phase !== 'done'
   }
 }
 
-/** Tickets that prove which workers may run a step. */
+/** Tickets that prove which workers may run a step, and the state of the requests for them. */
 export interface StepEligibility {
-  /** Workers that the service has named, with the latest ticket. The set does not change. */
+  /** Workers that the service has named, with their latest tickets. Whether a worker may run the step does not change. */
   readonly tickets: Map<string, { ticket: string, validUntil: number }>
-  /** Workers that the service has been asked about. */
+  /** Workers named in earlier requests. */
   readonly requestedWorkers: Set<string>
   isRequestPending: boolean
-  /** No question before this time after a failed one, in milliseconds of the monotonic clock. */
+  /** Earliest time of the next request after a failed one, in milliseconds of the monotonic clock. */
   retryNotBefore: number
 }
 
-/** Drops a ticket that a worker has refused. The worker may be asked about again: what it may run does not change. */
+/** Discards a ticket that a worker has refused, so that a new one is requested: whether the worker may run the step does not change. */
 export function discardTicket (step: Step, worker: string): void {
   step.eligibility.tickets.delete(worker)
   step.eligibility.requestedWorkers.delete(worker)
@@ -58,13 +58,13 @@
 export class Step {
   readonly tasks: Task[]
   readonly eligibility: StepEligibility = { tickets: new Map(), requestedWorkers: new Set(), isRequestPending: false, retryNotBefore: 0 }
-  /** Workers whose room is kept for this gang, or undefined. */
+  /** Workers whose capacity is reserved for this gang, or undefined. */
   reservation: ReadonlySet<string> | undefined
   doneCount = 0
-  /** Last run of a gang that was counted as failed; several members of one run may fail. */
+  /** Last run of a gang that was counted as failed. Several members of one run may fail, which counts once. */
   lastFailedRun = 0
   waitingCount: number
-  /** When all earlier steps were done, in milliseconds of the monotonic clock; undefined while the step must wait. */
+  /** Time at which all dependencies were done, in milliseconds of the monotonic clock; undefined before that. */
   readyAt: number | undefined
 
   constructor (readonly occurrence: Occurrence, readonly index: number, readonly specification: JobStep) {
@@ -85,7 +85,7 @@
   }
 }
 
-/** One time that the steps of a job run. */
+/** One execution of the steps of a job; a recurring job has several. */
 export class Occurrence {
   readonly steps: Step[]
 
@@ -98,8 +98,8 @@
   }
 }
 
-/** Policy of jobs whose record holds none. */
-const FORMER_POLICY: Omit<QueuePolicy, 'pool'> = { priority: 1, attempts: 1, stretch: 1, targetMilliseconds: 0 }
+/** Policy of jobs whose submission record contains none. */
+const DEFAULT_POLICY: Omit<QueuePolicy, 'pool'> = { priority: 1, attempts: 1, stretch: 1, targetMilliseconds: 0 }
 
 export class Job {
   /** Policy of the job's queue when the job was accepted. */
@@ -108,19 +108,19 @@
   finishedOccurrences = 0
   state: JobState = 'pending'
   reason: string | undefined
-  /** State that the log holds; callers are shown no final state before. */
+  /** State that is stored in the log. Callers see no final state before it is stored. */
   recordedState: JobState = 'pending'
-  /** Time by which the job should be completed to earn its full benefit, in milliseconds of the monotonic clock. */
+  /** Latest completion time that earns the full benefit, in milliseconds of the monotonic clock. */
   objectiveAt = 0
-  /** Time until which a late completion still earns a part of the benefit, in milliseconds of the monotonic clock. */
+  /** Latest completion time that earns a part of the benefit, in milliseconds of the monotonic clock. */
   lateUntil = 0
-  /** The job's queue had the most urgent priority when the job arrived. */
+  /** True if the job's queue had the most urgent priority when the job was added. */
   isUrgent = false
-  /** When the job reached a final state, in milliseconds of the monotonic clock. */
+  /** Time at which the job reached a final state, in milliseconds of the monotonic clock. */
   finishedAt = 0
 
   constructor (readonly identity: string, readonly submission: SubmissionRecord, readonly acceptedAt: number) {
-    this.acceptedPolicy = { ...submission.policy ?? FORMER_POLICY, pool: submission.pool }
+    this.acceptedPolicy = { ...submission.policy ?? DEFAULT_POLICY, pool: submission.pool }
   }
 
   get isFinal (): boolean {
@@ -131,7 +131,7 @@
     return Math.max(1, this.submission.job.occurrences)
   }
 
-  /** State for callers: a final state only once the log holds it, since an end that is not recorded can be lost with its worker. */
+  /** State shown to callers: a final state only once it is stored in the log, because an unrecorded end can be lost with its worker. */
   get visibleState (): JobState {
     if (!this.isFinal) return this.state
     return isFinalState(this.recordedState) ? this.recordedState : 'running'
@@ -144,14 +144,14 @@
   }
 }
 
-/** Progress of a job as it is recorded. */
+/** Converts the progress of a job to its record. */
 export function toProgressRecord (job: Job): ProgressRecord {
   if (job.isFinal) return job.reason === undefined ? { state: job.state, occurrences: [] } : { state: job.state, reason: job.reason, occurrences: [] }
-  const occurrences = [...job.occurrences.values()].map((occurrence): OccurrenceRow => [occurrence.index, occurrence.steps.map(rowOfStep)])
+  const occurrences = [...job.occurrences.values()].map((occurrence): OccurrenceRow => [occurrence.index, occurrence.steps.map(toStepRow)])
   return { state: job.state, occurrences }
 }
 
-function rowOfStep (step: Step): StepRow {
+function toStepRow (step: Step): StepRow {
   const done: number[] = []
   const tasks: TaskRow[] = []
   for (const task of step.tasks) {
@@ -161,7 +161,7 @@
   return step.lastFailedRun === 0 ? [done, tasks] : [done, tasks, step.lastFailedRun]
 }
 
-/** Restores the occurrences of a job from its record. Runs that may exist become `uncertain`. */
+/** Restores the progress of a job from its record. Tasks with a run that may exist become `uncertain`. */
 export function restoreProgress (job: Job, record: ProgressRecord): void {
   job.state = record.state
   job.recordedState = record.state
--- a/src/cluster/jobRetention.ts
+++ b/src/cluster/jobRetention.ts
@@ -4,17 +4,17 @@
 import { TOPICS, type KeyedRecord, type RecordLog } from './recordLog.js'
 import { cancelKey } from './submissions.js'
 
-/** Pause before a drop that was not stored is sent again, in milliseconds. */
+/** Pause before a failed append of deletions is repeated. */
 const DROP_RETRY_MILLISECONDS = 1000
 
 /**
- * Knows which partitions hold records of a job, and drops the records of finished jobs. A caller that hands a job in again at
- * another instance leaves a copy in another partition: each copy without progress would be a new job for the next scheduler.
+ * Tracks which partitions hold records of a job, and deletes the records of finished jobs. A caller that submits a job again
+ * through another instance leaves a copy in another partition: the next scheduler would treat a copy without progress as a new job.
  */
 export class JobRetention extends DisposableObject {
-  /** Partitions that hold a record of a key, one bit each. */
+  /** Bit mask of the partitions that hold a record of a key. */
   private readonly partitionsOfKey = new Map<string, number>()
-  private readonly dropping = new Set<string>()
+  private readonly pendingDrops = new Set<string>()
   private readonly abort = new AbortController()
 
   constructor (private readonly log: RecordLog, private readonly logger: Logger) {
@@ -22,30 +22,30 @@
     this.register(toDisposable(() => this.abort.abort()))
   }
 
-  /** Notes that a partition holds a record of a key. */
+  /** Handles a record of a key that was read from a partition. */
   onStored (key: string, partition: number): void {
     this.partitionsOfKey.set(key, (this.partitionsOfKey.get(key) ?? 0) | 1 << partition)
   }
 
-  /** Notes that a partition holds no record of a key any more; returns whether none does. */
+  /** Handles the deletion of a key from a partition. Returns true if no partition holds a record of the key any more. */
   onDropped (key: string, partition: number): boolean {
-    const left = (this.partitionsOfKey.get(key) ?? 0) & ~(1 << partition)
-    if (left !== 0) {
-      this.partitionsOfKey.set(key, left)
+    const remaining = (this.partitionsOfKey.get(key) ?? 0) & ~(1 << partition)
+    if (remaining !== 0) {
+      this.partitionsOfKey.set(key, remaining)
       return false
     }
     this.partitionsOfKey.delete(key)
-    this.dropping.delete(key)
+    this.pendingDrops.delete(key)
     return true
   }
 
-  /** Drops the submissions and cancels of jobs from the log. What has been dropped is read back as records without a value. */
+  /** Deletes the submissions and cancellations of jobs from the log by appending tombstones, which are read back as records without a value. */
   drop (jobs: readonly string[]): void {
     const dropped = new Map<number, KeyedRecord[]>()
     for (const key of jobs.flatMap(job => [job, cancelKey(job)])) {
       const partitions = this.partitionsOfKey.get(key)
-      if (partitions === undefined || this.dropping.has(key)) continue
-      this.dropping.add(key)
+      if (partitions === undefined || this.pendingDrops.has(key)) continue
+      this.pendingDrops.add(key)
       for (let partition = 0; partitions >> partition > 0; partition += 1) {
         if ((partitions >> partition & 1) === 1) dropped.set(partition, [...dropped.get(partition) ?? [], { key }])
       }
@@ -57,7 +57,7 @@
     while (!this.isDisposed) {
       const outcome = await this.log.append(TOPICS.submissions, partition, records)
       if (outcome.kind === 'stored') return
-      this.logger.warn('finished jobs could not be dropped from the log; the append is repeated', { count: records.length, reason: outcome.kind })
+      this.logger.warn('finished jobs could not be deleted from the log; the append is repeated', { count: records.length, reason: outcome.kind })
       await delay(DROP_RETRY_MILLISECONDS, this.abort.signal)
     }
   }
--- a/src/cluster/progressWriter.ts
+++ b/src/cluster/progressWriter.ts
@@ -3,17 +3,17 @@
 import { HedgedAppender } from './hedgedAppender.js'
 import { TOPICS, type KeyedRecord, type RecordLog } from './recordLog.js'
 
-/** Name of the fenced writer of progress. */
+/** Name under which the log fences the writers of progress. */
 const WRITER_NAME = 'scheduler'
-/** Pause before an append is repeated, in milliseconds. */
+/** Pause before a failed append is repeated. */
 const RETRY_PAUSE_MILLISECONDS = 60
-/** Most bytes of one append; the log takes up to 2 MB. */
+/** Maximum size of one append; the log accepts up to 2 MB. */
 const MAXIMUM_APPEND_BYTES = 1_000_000
 
-/** `behind`: an earlier write is not in the log after all; what it held must be written again. */
+/** `behind`: an earlier write that counted as stored is missing from the log; its records must be written again. */
 export type WriteOutcome = 'stored' | 'fenced' | 'behind' | 'disposed'
 
-/** Writes progress under a term. Once a greater term has written, nothing more is stored. */
+/** Writes progress under a term. The log rejects its writes once a writer with a greater term has written. */
 export class ProgressWriter extends DisposableObject {
   private sequence = 0
   private readonly abort = new AbortController()
@@ -25,23 +25,23 @@
     this.register(toDisposable(() => this.abort.abort()))
   }
 
-  /** Shuts out writers of lower terms. */
+  /** Fences the writers of lower terms. */
   async fence (): Promise<WriteOutcome> {
     while (!this.isDisposed) {
       const outcome = await this.appender.append(TOPICS.progress, 0, [], { writer: { name: WRITER_NAME, term: this.term, sequence: this.sequence } })
       if (outcome.kind === 'stored') return 'stored'
       if (outcome.kind === 'fenced') return 'fenced'
       this.onFailure(outcome.kind === 'refused' || outcome.kind === 'unknown' ? outcome.reason : outcome.kind)
-      // Another process has written under this term; a repeat would never be stored.
+      // Another process has written under this term, so a repeated append would never be stored.
       if (outcome.kind === 'outOfSequence') return 'fenced'
       await delay(RETRY_PAUSE_MILLISECONDS, this.abort.signal)
     }
     return 'disposed'
   }
 
-  /** Writes records in order; repeats until they are stored or the term has passed. */
+  /** Writes records in order, and repeats appends until they are stored or the writer is fenced. */
   async write (records: readonly KeyedRecord[]): Promise<WriteOutcome> {
-    for (const batch of split(records)) {
+    for (const batch of splitIntoBatches(records)) {
       const outcome = await this.writeBatch(batch)
       if (outcome !== 'stored') return outcome
     }
@@ -56,7 +56,7 @@
       if (outcome.kind === 'fenced') return 'fenced'
       if (outcome.kind === 'outOfSequence') {
         this.onFailure(`sequence ${this.sequence} was sent, ${outcome.expected} is expected`)
-        // The log expects the next number when an earlier copy has been stored without an answer.
+        // The log expects the next number if an earlier copy was stored without a response.
         if (outcome.expected === this.sequence + 1) return 'stored'
         this.sequence = outcome.expected - 1
         return 'behind'
@@ -68,7 +68,7 @@
   }
 }
 
-function split (records: readonly KeyedRecord[]): KeyedRecord[][] {
+function splitIntoBatches (records: readonly KeyedRecord[]): KeyedRecord[][] {
   const batches: KeyedRecord[][] = []
   let batch: KeyedRecord[] = []
   let bytes = 0
--- a/src/cluster/workerState.ts
+++ b/src/cluster/workerState.ts
@@ -2,47 +2,49 @@
 import type { Task } from './job.js'
 import type { WorkerEntry } from './workerPort.js'
 
-/** Weight of the latest run in the learned speed; estimates are off by up to a factor of two, so that some ten runs must tell. */
+/** Weight of the latest run in the estimated speed; job estimates are off by up to a factor of two, so the speed averages about ten runs. */
 const SPEED_LEARNING_RATE = 0.12
-/** Bounds of one observation of speed, as a factor; estimates are often far off. */
+/** Bounds of a single observation of speed, as a factor; job estimates are often far off. */
 const MINIMUM_OBSERVED_SPEED = 0.2
 const MAXIMUM_OBSERVED_SPEED = 4
-/** Failed runs of different jobs in a row after which a worker gets no more work for a while. */
+/** Number of consecutive failed runs of different jobs after which a worker is quarantined. */
 const FAILURES_BEFORE_QUARANTINE = 2
-/** Time without work after failures in a row, in milliseconds; about the duration of the troubles seen. */
+/** Duration of a quarantine; about the duration of the worker faults observed. */
 const QUARANTINE_MILLISECONDS = 4000
 
-/** What the acting scheduler knows of one worker: its room, what may run there, and how well it does. */
+/** State of one worker as seen by the active scheduler: its capacity, the runs that may exist there, and its speed and failures. */
 export class WorkerState {
   usedProcessors = 0
   usedMemory = 0
   usedAccelerators = 0
-  /** Processors that urgent work uses, in thousandths; part of `usedProcessors`. */
+  /** Processors used by urgent work, in thousandths; included in `usedProcessors`. */
   urgentProcessors = 0
-  /** Tasks that may run here, by name. */
+  /** Tasks that may be running on the worker, by name. */
   readonly runs = new Map<string, Task>()
-  /** The worker has answered under the current term, so that what runs there is known. */
+  /** The worker has reported under the current term, so its runs are known. */
   hasReported = false
-  /** The latest look failed. */
+  /** The latest poll failed. */
   isUnresponsive = false
-  /** The latest report lists runs that no job accounts for; they take room until they have stopped. */
+  /** The latest report lists orphaned runs; they use capacity until they have stopped. */
   hasOrphanedRuns = false
-  /** When the stop of each stray run was last ordered, by task and run, in milliseconds of the monotonic clock. */
+  /** Time of the last stop command for each orphaned run, by task and run, in milliseconds of the monotonic clock. */
   readonly orphanStopTimes = new Map<string, number>()
   /** The registry lists the worker. */
   isListed = true
-  /** Speed relative to the tasks' estimates. */
+  /** Speed relative to the estimates of the tasks. */
   speed = 1
   quarantinedUntil = 0
-  /** Latest end that has been taken into account, and latest that the log covers. */
+  /** Number of the latest processed end. */
   processedEnd = 0
+  /** Number of the latest end whose effect is in the log. */
   recordedEnd = 0
-  /** Latest end that a successful look has told the worker to forget. */
+  /** Number of the latest end acknowledged to the worker by a successful poll. */
   acknowledgedEnd = 0
-  /** Start of the worker's process as it states it, and when the latest look that showed it was sent. */
+  /** Start time of the worker's process as the worker reports it. */
   processStartedAt = 0
+  /** Time at which the latest poll that reached this process was sent, in milliseconds of the monotonic clock. */
   processSeenAt = -Infinity
-  private failuresInRow = 0
+  private consecutiveFailures = 0
   private lastFailedJob = ''
 
   constructor (public entry: WorkerEntry) {}
@@ -51,12 +53,12 @@
     return this.entry.identity
   }
 
-  /** Ends have been taken into account that the log does not hold yet. */
+  /** True if ends have been processed whose effect is not in the log yet. */
   get hasUnrecordedEnds (): boolean {
     return this.processedEnd > this.recordedEnd
   }
 
-  /** Latest end that the worker is still to be told to forget; 0 if there is none, because a new process would take it for one of its own. */
+  /** Number of the latest end still to be acknowledged; 0 if there is none, because a new process would mistake a repeated number for one of its own ends. */
   get endToAcknowledge (): number {
     return this.acknowledgedEnd < this.recordedEnd ? this.recordedEnd : 0
   }
@@ -69,17 +71,17 @@
     return this.entry.memoryMegabytes - this.usedMemory
   }
 
-  /** Whether new runs may be placed here. */
+  /** Returns true if new runs may be placed on the worker. */
   isUsable (now: number): boolean {
     return this.hasReported && !this.isUnresponsive && !this.hasOrphanedRuns && this.isListed && this.entry.state === 'ready' && now >= this.quarantinedUntil
   }
 
-  /** Whether a task fits and leaves `headroom` processors free, in thousandths. */
+  /** Returns true if a task of the step fits and leaves `headroom` thousandths of a processor free. */
   fits (step: JobStep, headroom = 0): boolean {
     return processorsOf(step) + headroom <= this.freeProcessors && step.memoryMegabytes <= this.freeMemory && step.accelerators <= this.entry.accelerators - this.usedAccelerators
   }
 
-  /** Whether the empty worker could carry a task of the step. */
+  /** Returns true if a task of the step would fit on the worker if it were empty. */
   fitsWhenEmpty (step: JobStep): boolean {
     return processorsOf(step) <= this.entry.processorsThousandths && step.memoryMegabytes <= this.entry.memoryMegabytes && step.accelerators <= this.entry.accelerators && this.hasLabel(step)
   }
@@ -91,33 +93,33 @@
   allocate (task: Task): void {
     if (this.runs.has(task.name)) return
     this.runs.set(task.name, task)
-    this.count(task, 1)
+    this.addUsage(task, 1)
   }
 
   release (task: Task): void {
-    if (this.runs.delete(task.name)) this.count(task, -1)
+    if (this.runs.delete(task.name)) this.addUsage(task, -1)
   }
 
-  /** Learns from a run that ended well. */
+  /** Updates the speed and resets the consecutive failures after a successful run. */
   recordSuccess (estimateMilliseconds: number, durationMilliseconds: number): void {
-    this.failuresInRow = 0
+    this.consecutiveFailures = 0
     if (estimateMilliseconds === 0 || durationMilliseconds <= 0) return
     const observed = Math.min(MAXIMUM_OBSERVED_SPEED, Math.max(MINIMUM_OBSERVED_SPEED, estimateMilliseconds / durationMilliseconds))
-    // Estimates are off by a factor, so that the mean is taken of logarithms.
+    // The errors of estimates are multiplicative, so the logarithms are averaged.
     this.speed *= (observed / this.speed) ** SPEED_LEARNING_RATE
   }
 
-  /** Learns from a failed run; returns whether the worker is put into quarantine. */
+  /** Counts a failed run. Returns true if the worker is quarantined. */
   recordFailure (job: string, now: number): boolean {
     if (job === this.lastFailedJob) return false
     this.lastFailedJob = job
-    this.failuresInRow += 1
-    if (this.failuresInRow < FAILURES_BEFORE_QUARANTINE) return false
+    this.consecutiveFailures += 1
+    if (this.consecutiveFailures < FAILURES_BEFORE_QUARANTINE) return false
     this.quarantinedUntil = now + QUARANTINE_MILLISECONDS
     return true
   }
 
-  private count (task: Task, sign: 1 | -1): void {
+  private addUsage (task: Task, sign: 1 | -1): void {
     const step = task.step.specification
     if (task.step.job.isUrgent) this.urgentProcessors += sign * processorsOf(step)
     this.usedProcessors += sign * processorsOf(step)
@@ -126,7 +128,7 @@
   }
 }
 
-/** Processors that a task counts against a worker's capacity, in thousandths; filler work counts none. */
+/** Returns the processors that a task uses of a worker's capacity, in thousandths; filler work uses none. */
 export function processorsOf (step: JobStep): number {
   return step.filler ? 0 : step.processorsThousandths
 }
