--- a/src/cluster/activeScheduler.ts
+++ b/src/cluster/activeScheduler.ts
@@ -285,7 +285,7 @@
   }
 
   private dropFinishedJobs (): void {
-    this.retention.drop(this.scheduler.findJobsFinishedBefore(this.now() - this.options.bounds.stateRetentionMilliseconds))
+    this.retention.deleteRecords(this.scheduler.findJobsFinishedBefore(this.now() - this.options.bounds.stateRetentionMilliseconds))
   }
 
   /** Handles a submission that was removed from the log. The progress is removed only once no copy of the submission is left: a copy without progress would be a new job. */
--- a/src/cluster/jobRetention.ts
+++ b/src/cluster/jobRetention.ts
@@ -40,7 +40,7 @@
   }
 
   /** Deletes the submissions and cancellations of jobs from the log by appending tombstones, which are read back as records without a value. */
-  drop (jobs: readonly string[]): void {
+  deleteRecords (jobs: readonly string[]): void {
     const dropped = new Map<number, KeyedRecord[]>()
     for (const key of jobs.flatMap(job => [job, cancelKey(job)])) {
       const partitions = this.partitionsOfKey.get(key)
