--- a/src/cluster/activeScheduler.ts
+++ b/src/cluster/activeScheduler.ts
@@ -290,7 +290,7 @@
 
   /** Handles a submission that was removed from the log. The progress is removed only once no copy of the submission is left: a copy without progress would be a new job. */
   private onDropped (key: string, partition: number): void {
-    if (!this.retention.onDropped(key, partition) || isCancelKey(key) || !this.scheduler.removeFinishedJob(key)) return
+    if (!this.retention.onDeleted(key, partition) || isCancelKey(key) || !this.scheduler.removeFinishedJob(key)) return
     this.evictedKeys.push(key)
   }
 
--- a/src/cluster/jobRetention.ts
+++ b/src/cluster/jobRetention.ts
@@ -28,7 +28,7 @@
   }
 
   /** Handles the deletion of a key from a partition. Returns true if no partition holds a record of the key any more. */
-  onDropped (key: string, partition: number): boolean {
+  onDeleted (key: string, partition: number): boolean {
     const remaining = (this.partitionsOfKey.get(key) ?? 0) & ~(1 << partition)
     if (remaining !== 0) {
       this.partitionsOfKey.set(key, remaining)
