--- a/src/cluster/activeScheduler.ts
+++ b/src/cluster/activeScheduler.ts
@@ -76,7 +76,7 @@
   private unrecordedEnds = 0
   /** Runs of a round whose record must be written again before their start commands are sent. */
   private readonly unsentRuns: PlannedRun[] = []
-  /** Finished jobs whose submission is gone from the log and whose progress must be removed as well. */
+  /** Finished jobs whose submission was deleted from the log and whose progress must be deleted as well. */
   private readonly evictedKeys: string[] = []
   private readonly retention: JobRetention
   /** Submissions that were read before the progress of their jobs; undefined once the progress has been read. */
@@ -132,7 +132,7 @@
     for (const follower of this.submissionFollowers) follower.follow()
     for (const worker of this.scheduler.workers.values()) this.sessions.open(worker)
     this.registerInterval(() => this.onTick(), TICK_MILLISECONDS)
-    this.registerInterval(() => this.dropFinishedJobs(), EVICTION_PERIOD_MILLISECONDS)
+    this.registerInterval(() => this.deleteFinishedJobs(), EVICTION_PERIOD_MILLISECONDS)
     const unfinished = [...this.scheduler.jobs.values()].filter(job => !job.isFinal)
     const restored = unfinished.filter(job => progress.has(job.identity)).length
     this.logger.info('acting as scheduler', { term: this.options.term, count: this.scheduler.jobs.size, reason: `${unfinished.length} jobs are not finished, ${restored} of them have recorded progress`, durationMilliseconds: Math.round(this.now() - this.startedAt) })
@@ -261,7 +261,7 @@
     const now = this.now()
     for (const { key, value } of records) {
       if (value === undefined) {
-        this.onDropped(key, partition)
+        this.onSubmissionDeleted(key, partition)
         continue
       }
       this.retention.onStored(key, partition)
@@ -284,12 +284,12 @@
     this.requestRound()
   }
 
-  private dropFinishedJobs (): void {
+  private deleteFinishedJobs (): void {
     this.retention.deleteRecords(this.scheduler.findJobsFinishedBefore(this.now() - this.options.bounds.stateRetentionMilliseconds))
   }
 
-  /** Handles a submission that was removed from the log. The progress is removed only once no copy of the submission is left: a copy without progress would be a new job. */
-  private onDropped (key: string, partition: number): void {
+  /** Handles the deletion of a submission from the log. The progress is deleted only once no copy of the submission is left: a copy without progress would be a new job. */
+  private onSubmissionDeleted (key: string, partition: number): void {
     if (!this.retention.onDeleted(key, partition) || isCancelKey(key) || !this.scheduler.removeFinishedJob(key)) return
     this.evictedKeys.push(key)
   }
--- a/src/cluster/clusterScheduler.ts
+++ b/src/cluster/clusterScheduler.ts
@@ -79,11 +79,11 @@
 
   /** Adds a worker or updates its entry. Returns its state. */
   upsertWorker (entry: WorkerEntry): WorkerState {
-    const known = this.workers.get(entry.identity)
-    if (known !== undefined) {
-      known.entry = entry
-      known.isListed = true
-      return known
+    const existing = this.workers.get(entry.identity)
+    if (existing !== undefined) {
+      existing.entry = entry
+      existing.isListed = true
+      return existing
     }
     const worker = new WorkerState(entry)
     this.workers.set(entry.identity, worker)
@@ -100,8 +100,8 @@
 
   /** Adds a job that is stored in the log. Duplicates are ignored. */
   addJob (identity: string, submission: SubmissionRecord, now: number, { progress, storedAfter }: AddJobOptions = {}): Job {
-    const known = this.jobs.get(identity)
-    if (known !== undefined) return known
+    const existing = this.jobs.get(identity)
+    if (existing !== undefined) return existing
     const job = new Job(identity, submission, now)
     this.jobs.set(identity, job)
     if (progress !== undefined) restoreProgress(job, progress)
--- a/src/cluster/jobRetention.ts
+++ b/src/cluster/jobRetention.ts
@@ -5,7 +5,7 @@
 import { cancelKey } from './submissions.js'
 
 /** Pause before a failed append of deletions is repeated. */
-const DROP_RETRY_MILLISECONDS = 1000
+const DELETION_RETRY_MILLISECONDS = 1000
 
 /**
  * Tracks which partitions hold records of a job, and deletes the records of finished jobs. A caller that submits a job again
@@ -14,7 +14,7 @@
 export class JobRetention extends DisposableObject {
   /** Bit mask of the partitions that hold a record of a key. */
   private readonly partitionsOfKey = new Map<string, number>()
-  private readonly pendingDrops = new Set<string>()
+  private readonly pendingDeletions = new Set<string>()
   private readonly abort = new AbortController()
 
   constructor (private readonly log: RecordLog, private readonly logger: Logger) {
@@ -35,30 +35,30 @@
       return false
     }
     this.partitionsOfKey.delete(key)
-    this.pendingDrops.delete(key)
+    this.pendingDeletions.delete(key)
     return true
   }
 
   /** Deletes the submissions and cancellations of jobs from the log by appending tombstones, which are read back as records without a value. */
   deleteRecords (jobs: readonly string[]): void {
-    const dropped = new Map<number, KeyedRecord[]>()
+    const deletions = new Map<number, KeyedRecord[]>()
     for (const key of jobs.flatMap(job => [job, cancelKey(job)])) {
       const partitions = this.partitionsOfKey.get(key)
-      if (partitions === undefined || this.pendingDrops.has(key)) continue
-      this.pendingDrops.add(key)
+      if (partitions === undefined || this.pendingDeletions.has(key)) continue
+      this.pendingDeletions.add(key)
       for (let partition = 0; partitions >> partition > 0; partition += 1) {
-        if ((partitions >> partition & 1) === 1) dropped.set(partition, [...dropped.get(partition) ?? [], { key }])
+        if ((partitions >> partition & 1) === 1) deletions.set(partition, [...deletions.get(partition) ?? [], { key }])
       }
     }
-    for (const [partition, records] of dropped) this.dropFromPartition(partition, records)
+    for (const [partition, records] of deletions) this.deleteFromPartition(partition, records)
   }
 
-  private async dropFromPartition (partition: number, records: readonly KeyedRecord[]): Promise<void> {
+  private async deleteFromPartition (partition: number, records: readonly KeyedRecord[]): Promise<void> {
     while (!this.isDisposed) {
       const outcome = await this.log.append(TOPICS.submissions, partition, records)
       if (outcome.kind === 'stored') return
       this.logger.warn('finished jobs could not be deleted from the log; the append is repeated', { count: records.length, reason: outcome.kind })
-      await delay(DROP_RETRY_MILLISECONDS, this.abort.signal)
+      await delay(DELETION_RETRY_MILLISECONDS, this.abort.signal)
     }
   }
 }
--- a/src/cluster/placementPass.ts
+++ b/src/cluster/placementPass.ts
@@ -160,8 +160,8 @@
 
   /** Returns true if, beside the headroom for urgent work, a task of the step fits on no eligible worker, or its gang does not fit on all of them together. */
   private ignoresHeadroom (step: Step): boolean {
-    const known = this.ignoresHeadroomOf.get(step)
-    if (known !== undefined) return known
+    const cached = this.ignoresHeadroomOf.get(step)
+    if (cached !== undefined) return cached
     const needed = step.specification.gang ? step.tasks.length : 1
     const ignores = !tasksFitWhenEmpty(this.eligibleWorkers(step), step, needed, this.headroom)
     this.ignoresHeadroomOf.set(step, ignores)
--- a/test/cluster/eligibilityRequester.test.ts
+++ b/test/cluster/eligibilityRequester.test.ts
@@ -21,15 +21,15 @@
   }
 }
 
-describe('EligibilityDesk', () => {
-  /** Which workers a question names: all that are known first, and later ones only if the named ones cannot carry the step. */
-  const CASES: ReadonlyArray<{ readonly name: string, readonly step: object, readonly later: readonly string[], readonly named: readonly string[], readonly questions: readonly string[][] }> = [
-    { name: 'asks about workers that became known later when the named ones cannot carry a gang', step: { count: 2, gang: true }, later: ['w2', 'w3'], named: ['w1', 'w2', 'w3'], questions: [['w1'], ['w1', 'w2', 'w3']] },
-    { name: 'asks about workers that became known later when none was named', step: { count: 1 }, later: ['w2'], named: ['w2'], questions: [['w1'], ['w2']] },
-    { name: 'asks about no more workers than a step needs', step: { count: 1 }, later: ['w2'], named: ['w1'], questions: [['w1']] }
+describe('EligibilityRequester', () => {
+  /** The first request contains all known workers; later requests contain further workers only if the step does not fit on those named as eligible. */
+  const CASES: ReadonlyArray<{ readonly name: string, readonly step: object, readonly later: readonly string[], readonly eligible: readonly string[], readonly requests: readonly string[][] }> = [
+    { name: 'requests workers that became known later when a gang does not fit on the eligible ones', step: { count: 2, gang: true }, later: ['w2', 'w3'], eligible: ['w1', 'w2', 'w3'], requests: [['w1'], ['w1', 'w2', 'w3']] },
+    { name: 'requests workers that became known later when none was eligible', step: { count: 1 }, later: ['w2'], eligible: ['w2'], requests: [['w1'], ['w2']] },
+    { name: 'requests no more workers than a step needs', step: { count: 1 }, later: ['w2'], eligible: ['w1'], requests: [['w1']] }
   ]
-  /** A gang would wait for the one named worker for ever if room is kept there for urgent work. */
-  it('asks about more workers when the named one can carry a gang only without the room kept for urgent work', async () => {
+  /** Otherwise a gang would wait forever for the only eligible worker, because part of its capacity is reserved for urgent work. */
+  it('requests more workers when a gang fits on the eligible one only without the capacity reserved for urgent work', async () => {
     const scheduler = createScheduler()
     addWorkers(scheduler, ['w1'])
     const fast = scheduler.workers.get('w1')
@@ -39,32 +39,32 @@
     for (let observation = 0; observation < 200; observation += 1) scheduler.observeLoad()
     fast.urgentProcessors = 0
     scheduler.addJob('00000000000000aa', { queue: 'queue', pool: 'pool', job: stepJobSchema.parse({ specification: '', steps: [{ count: 1, gang: true, processorsThousandths: 1000 }] }), acceptedAt: Date.now() }, 0)
-    const asked: string[][] = []
+    const requested: string[][] = []
     let now = 0
-    const desk = new EligibilityRequester(scheduler, () => [{
+    const requester = new EligibilityRequester(scheduler, () => [{
       instance: 'own',
       request: async (_step, workers) => {
-        asked.push([...workers].sort())
+        requested.push([...workers].sort())
         return { kind: 'eligible', workers: workers.map(worker => ({ worker, ticket: 'ticket' })), validMilliseconds: 2500 }
       }
     }], () => {}, () => now)
-    desk.sendRequests()
+    requester.sendRequests()
     await Promise.resolve()
     await Promise.resolve()
     addWorkers(scheduler, ['w2'])
     now = 1000
-    desk.sendRequests()
-    assert.deepEqual(asked, [['w1'], ['w1', 'w2']])
+    requester.sendRequests()
+    assert.deepEqual(requested, [['w1'], ['w1', 'w2']])
   })
 
-  /** Jobs that no worker can run may wait for ever: the jobs behind them must not. */
+  /** Jobs that no worker can run may wait forever, but must not cause head-of-line blocking. */
   const UNPLACEABLE: ReadonlyArray<{ readonly name: string, readonly step: object }> = [
-    { name: 'gangs that the named workers cannot carry together', step: { count: 2, gang: true } },
+    { name: 'gangs that do not fit on the eligible workers together', step: { count: 2, gang: true } },
     { name: 'tasks that are larger than any worker', step: { count: 1, processorsThousandths: 2000 } },
     { name: 'tasks with a label that no worker has', step: { count: 1, requiredLabel: 'none' } }
   ]
   for (const { name, step } of UNPLACEABLE) {
-    it(`asks about a step behind many ${name}`, async () => {
+    it(`requests workers for a step behind many ${name}`, async () => {
       const scheduler = createScheduler()
       addWorkers(scheduler, ['w1'])
       const add = (identity: string, specification: object): void => {
@@ -72,46 +72,46 @@
       }
       for (let job = 0; job < 40; job += 1) add(`unplaceable${job}`, step)
       add('placeable', { count: 1 })
-      const asked = new Set<string>()
+      const requested = new Set<string>()
       let now = 0
-      const desk = new EligibilityRequester(scheduler, () => [{
+      const requester = new EligibilityRequester(scheduler, () => [{
         instance: 'own',
-        request: async (name, workers) => {
-          asked.add(name)
+        request: async (stepName, workers) => {
+          requested.add(stepName)
           return { kind: 'eligible', workers: workers.map(worker => ({ worker, ticket: 'ticket' })), validMilliseconds: 2500 }
         }
       }], () => {}, () => now)
-      for (let question = 0; question < 100 && !asked.has('placeable.0.0'); question += 1) {
-        desk.sendRequests()
+      for (let round = 0; round < 100 && !requested.has('placeable.0.0'); round += 1) {
+        requester.sendRequests()
         await Promise.resolve()
         await Promise.resolve()
         now += 200
       }
-      assert.ok(asked.has('placeable.0.0'))
+      assert.ok(requested.has('placeable.0.0'))
     })
   }
 
-  for (const { name, step, later, named, questions } of CASES) {
+  for (const { name, step, later, eligible, requests } of CASES) {
     it(name, async () => {
       const scheduler = createScheduler()
       addWorkers(scheduler, ['w1'])
       scheduler.addJob('00000000000000aa', { queue: 'queue', pool: 'pool', job: stepJobSchema.parse({ specification: '', steps: [{ processorsThousandths: 1000, ...step }] }), acceptedAt: Date.now() }, 0)
-      const asked: string[][] = []
+      const requested: string[][] = []
       let now = 0
-      const desk = new EligibilityRequester(scheduler, () => [{
+      const requester = new EligibilityRequester(scheduler, () => [{
         instance: 'own',
         request: async (_step, workers) => {
-          asked.push([...workers].sort())
-          return { kind: 'eligible', workers: workers.filter(worker => named.includes(worker)).map(worker => ({ worker, ticket: 'ticket' })), validMilliseconds: 2500 }
+          requested.push([...workers].sort())
+          return { kind: 'eligible', workers: workers.filter(worker => eligible.includes(worker)).map(worker => ({ worker, ticket: 'ticket' })), validMilliseconds: 2500 }
         }
       }], () => {}, () => now)
-      desk.sendRequests()
+      requester.sendRequests()
       await Promise.resolve()
       await Promise.resolve()
       addWorkers(scheduler, later)
       now = 1000
-      desk.sendRequests()
-      assert.deepEqual(asked, questions)
+      requester.sendRequests()
+      assert.deepEqual(requested, requests)
     })
   }
 })
--- a/test/cluster/placementPass.test.ts
+++ b/test/cluster/placementPass.test.ts
@@ -10,13 +10,13 @@
   { name: 'batch', host: 'host', routePrefix: '/b/', pool: 'pool', priority: 1, attempts: 2, stretch: 4, targetMilliseconds: 3000 }
 ]
 
-interface WorkerCase { readonly name: string, readonly room: number, readonly speed: number }
+interface WorkerCase { readonly name: string, readonly cores: number, readonly speed: number }
 
 function createSite (workers: readonly WorkerCase[]): ClusterScheduler {
   const scheduler = new ClusterScheduler(SILENT_OBSERVER)
   scheduler.configure({ revision: 1, queues: QUEUES, maximumBodyBytes: 1000 })
-  for (const { name, room, speed } of workers) {
-    scheduler.upsertWorker(new FakeWorker(name, room, () => 0).entry).speed = speed
+  for (const { name, cores, speed } of workers) {
+    scheduler.upsertWorker(new FakeWorker(name, cores, () => 0).entry).speed = speed
     scheduler.onReport(name, { clockMilliseconds: 1, bornAt: 1, running: [], ended: [] }, 0, 0)
   }
   return scheduler
@@ -32,7 +32,7 @@
   return scheduler.place(now).map(run => run.worker.identity).sort()
 }
 
-/** Lets the scheduler see a fast worker that is a fifth full of urgent work for a while, and empties it. */
+/** Lets the scheduler sample a fast worker of which urgent work uses a fifth, and empties the worker. */
 function learnUrgentShare (scheduler: ClusterScheduler, name: string): void {
   const worker = scheduler.workers.get(name)
   assert.ok(worker)
@@ -42,7 +42,7 @@
 }
 
 describe('PlacementPass', () => {
-  /** Urgent work that would be late on a slow worker waits for a fast one, until that would be late too. */
+  /** Urgent work that would be late on a slow worker waits for a fast one until it would be late there too. */
   const URGENT: ReadonlyArray<{ readonly name: string, readonly now: number, readonly fastIsFull: boolean, readonly gang: boolean, readonly placed: readonly string[] }> = [
     { name: 'takes the fast worker', now: 0, fastIsFull: false, gang: false, placed: ['fast', 'fast'] },
     { name: 'waits for the fast worker', now: 100, fastIsFull: true, gang: false, placed: [] },
@@ -52,7 +52,7 @@
   ]
   for (const { name, now, fastIsFull, gang, placed } of URGENT) {
     it(`urgent work ${name}`, () => {
-      const scheduler = createSite([{ name: 'slow', room: 4, speed: 0.5 }, { name: 'fast', room: 2, speed: 1.5 }])
+      const scheduler = createSite([{ name: 'slow', cores: 4, speed: 0.5 }, { name: 'fast', cores: 2, speed: 1.5 }])
       if (fastIsFull) {
         const fast = scheduler.workers.get('fast')
         assert.ok(fast)
@@ -63,24 +63,24 @@
     })
   }
 
-  /** After an outage urgent work is late: it is placed before other work as long as it is worth something. Room for one task. */
+  /** Late urgent work, as after an outage, precedes other work while it still earns a benefit. The worker has capacity for one task. */
   const LATE: ReadonlyArray<{ readonly name: string, readonly now: number, readonly first: 'urgent' | 'batch' }> = [
     { name: 'in time before batch work', now: 0, first: 'urgent' },
     { name: 'late before batch work in time', now: 3000, first: 'urgent' },
-    { name: 'that has become worthless after batch work', now: 6000, first: 'batch' }
+    { name: 'that is overdue after batch work', now: 6000, first: 'batch' }
   ]
   for (const { name, now, first } of LATE) {
     it(`places urgent work ${name}`, () => {
-      const scheduler = createSite([{ name: 'only', room: 1, speed: 1 }])
+      const scheduler = createSite([{ name: 'only', cores: 1, speed: 1 }])
       add(scheduler, 'batch', {})
       add(scheduler, 'urgent', {})
       assert.deepEqual(scheduler.place(now).map(run => run.task.step.job.submission.queue), [first])
     })
   }
 
-  /** A burst of urgent work finds room on the fast workers although batch work fills the site. */
-  it('keeps room on fast workers for as much urgent work as is usual', () => {
-    const scheduler = createSite([{ name: 'fast', room: 10, speed: 1.5 }])
+  /** A burst of urgent work fits on the fast workers although batch work fills the site. */
+  it('reserves capacity on fast workers for the usual amount of urgent work', () => {
+    const scheduler = createSite([{ name: 'fast', cores: 10, speed: 1.5 }])
     add(scheduler, 'urgent', { count: 2 })
     place(scheduler)
     for (let observation = 0; observation < 200; observation += 1) scheduler.observeLoad()
@@ -90,37 +90,37 @@
     assert.equal(place(scheduler).length, 1)
   })
 
-  /** Work that the kept room would shut out for ever. */
+  /** Work that could never be placed beside the reserved capacity. */
   const LARGE: ReadonlyArray<{ readonly name: string, readonly step: object, readonly placed: number }> = [
     { name: 'a task as large as the worker', step: { count: 1, processorsThousandths: 10_000 }, placed: 1 },
     { name: 'a gang that needs all of the worker', step: { count: 10, gang: true }, placed: 10 },
-    { name: 'a gang that needs all but what is kept', step: { count: 6, gang: true }, placed: 6 }
+    { name: 'a gang that needs all unreserved capacity', step: { count: 6, gang: true }, placed: 6 }
   ]
   for (const { name, step, placed } of LARGE) {
-    it(`places ${name} although room is kept for urgent work`, () => {
-      const scheduler = createSite([{ name: 'fast', room: 10, speed: 1.5 }])
+    it(`places ${name} although capacity is reserved for urgent work`, () => {
+      const scheduler = createSite([{ name: 'fast', cores: 10, speed: 1.5 }])
       learnUrgentShare(scheduler, 'fast')
       add(scheduler, 'batch', step)
       assert.equal(place(scheduler).length, placed)
     })
   }
 
-  it('does not keep room where there is no urgent work', () => {
-    const scheduler = createSite([{ name: 'fast', room: 10, speed: 1.5 }])
+  it('reserves no capacity where there is no urgent work', () => {
+    const scheduler = createSite([{ name: 'fast', cores: 10, speed: 1.5 }])
     add(scheduler, 'batch', { count: 20 })
     assert.equal(place(scheduler).length, 10)
   })
 
-  /** Members of a gang end together: fast workers would wait for slow ones. */
+  /** The members of a gang finish together, so fast workers would wait for slow ones. */
   it('places a gang on workers of one speed', () => {
-    const scheduler = createSite([{ name: 'slow1', room: 2, speed: 0.5 }, { name: 'fast1', room: 3, speed: 1.5 }, { name: 'slow2', room: 2, speed: 0.5 }])
+    const scheduler = createSite([{ name: 'slow1', cores: 2, speed: 0.5 }, { name: 'fast1', cores: 3, speed: 1.5 }, { name: 'slow2', cores: 2, speed: 0.5 }])
     add(scheduler, 'batch', { count: 4, gang: true })
     assert.deepEqual(place(scheduler), ['slow1', 'slow1', 'slow2', 'slow2'])
   })
 
   /** A wide gang is not starved by narrow work that always fits. */
-  it('keeps the workers of a waiting gang from other batch work', () => {
-    const scheduler = createSite([{ name: 'w1', room: 2, speed: 1 }, { name: 'w2', room: 2, speed: 1 }])
+  it('reserves workers of a waiting gang against other batch work', () => {
+    const scheduler = createSite([{ name: 'w1', cores: 2, speed: 1 }, { name: 'w2', cores: 2, speed: 1 }])
     for (const worker of scheduler.workers.values()) worker.usedProcessors = 1000
     add(scheduler, 'batch', { count: 4, gang: true })
     add(scheduler, 'batch', { count: 4 }, 1)
--- a/test/cluster/progressWriter.test.ts
+++ b/test/cluster/progressWriter.test.ts
@@ -6,17 +6,17 @@
 const TERM = 3
 const RECORDS: readonly KeyedRecord[] = [{ key: 'job', value: Buffer.from('progress') }]
 
-/** Answers appends from a script and keeps the sequence numbers that it was sent. */
+/** Returns scripted outcomes of appends and records the sequence numbers it receives. */
 class ScriptedLog extends RecordLog {
   readonly sequences: number[] = []
 
-  constructor (private readonly answers: AppendOutcome[]) {
+  constructor (private readonly outcomes: AppendOutcome[]) {
     super()
   }
 
   override async append (_topic: string, _partition: number, _records: readonly KeyedRecord[], options: AppendOptions = {}): Promise<AppendOutcome> {
     this.sequences.push(options.writer?.sequence ?? -1)
-    return this.answers.shift() ?? { kind: 'stored', end: 1 }
+    return this.outcomes.shift() ?? { kind: 'stored', end: 1 }
   }
 
   override async read (): Promise<ReadOutcome> {
@@ -29,16 +29,16 @@
 }
 
 describe('ProgressWriter', () => {
-  /** Outcome of a write after a fence with number 0, by the answer of the log, and the numbers that were sent. */
-  const CASES: ReadonlyArray<{ readonly name: string, readonly answers: AppendOutcome[], readonly outcome: WriteOutcome, readonly sequences: readonly number[] }> = [
-    { name: 'stores', answers: [], outcome: 'stored', sequences: [1] },
-    { name: 'is shut out by a greater term', answers: [{ kind: 'fenced' }], outcome: 'fenced', sequences: [1] },
-    { name: 'has been stored by an earlier copy', answers: [{ kind: 'outOfSequence', expected: 2 }], outcome: 'stored', sequences: [1] },
-    { name: 'does not take the answer to an earlier number for its own', answers: [{ kind: 'outOfSequence', expected: 0 }], outcome: 'behind', sequences: [1] }
+  /** Outcome of a write after a fence with sequence number 0, depending on the responses of the log, and the sequence numbers sent. */
+  const CASES: ReadonlyArray<{ readonly name: string, readonly responses: AppendOutcome[], readonly outcome: WriteOutcome, readonly sequences: readonly number[] }> = [
+    { name: 'stores', responses: [], outcome: 'stored', sequences: [1] },
+    { name: 'is fenced by a greater term', responses: [{ kind: 'fenced' }], outcome: 'fenced', sequences: [1] },
+    { name: 'has been stored by an earlier copy', responses: [{ kind: 'outOfSequence', expected: 2 }], outcome: 'stored', sequences: [1] },
+    { name: 'does not mistake the response to an earlier sequence number for its own', responses: [{ kind: 'outOfSequence', expected: 0 }], outcome: 'behind', sequences: [1] }
   ]
-  for (const { name, answers, outcome, sequences } of CASES) {
+  for (const { name, responses, outcome, sequences } of CASES) {
     it(name, async () => {
-      const log = new ScriptedLog([{ kind: 'stored', end: 0 }, ...answers])
+      const log = new ScriptedLog([{ kind: 'stored', end: 0 }, ...responses])
       const writer = new ProgressWriter(log, TERM, () => {}, () => 0)
       await writer.fence()
       log.sequences.length = 0
@@ -48,8 +48,8 @@
     })
   }
 
-  /** The log has seen another writer of this term: repeats would be answered with the outcome of that one's appends. */
-  it('is shut out by another writer of its term', async () => {
+  /** The log has received appends of another writer with this term, so repeated appends would return the outcomes of that writer's appends. */
+  it('is fenced by another writer of its term', async () => {
     const log = new ScriptedLog([{ kind: 'outOfSequence', expected: 7 }])
     const writer = new ProgressWriter(log, TERM, () => {}, () => 0)
     assert.equal(await writer.fence(), 'fenced')
