--- a/bench/capacityCluster.ts
+++ b/bench/capacityCluster.ts
@@ -1,7 +1,7 @@
 import { Random } from '../src/base/random.js'
 import { ClusterScheduler } from '../src/cluster/clusterScheduler.js'
-import { EligibilityDesk } from '../src/cluster/eligibilityDesk.js'
-import { progressOf } from '../src/cluster/jobBook.js'
+import { EligibilityRequester } from '../src/cluster/eligibilityRequester.js'
+import { toProgressRecord } from '../src/cluster/job.js'
 import { decodeRecord, encodeRecord, type ProgressRecord, type SubmissionRecord } from '../src/contracts/clusterRecords.js'
 import { stepJobSchema } from '../src/contracts/stepJob.js'
 import { SILENT_OBSERVER } from '../test/fakes/silentObserver.js'
@@ -79,17 +79,17 @@
         const submission = createSubmission(random)
         scheduler.addJob(index.toString(16).padStart(16, '0'), index % 4 === 0 ? { ...submission, queue: URGENT_QUEUE.name } : submission, 0)
       }
-      for (const step of scheduler.openSteps) {
+      for (const step of scheduler.readySteps) {
         for (const identity of scheduler.workers.keys()) {
-          step.eligibility.asked.add(identity)
+          step.eligibility.requestedWorkers.add(identity)
           if (random.fraction() < ELIGIBLE_SHARE) step.eligibility.tickets.set(identity, { ticket: 'ticket', validUntil: Infinity })
         }
       }
       return scheduler
     }
     const placing = medianMilliseconds(runs, createBacklog, scheduler => { scheduler.place(1) })
-    const line = { instance: 'entry', ask: async () => ({ kind: 'failed', reason: 'not asked' }) as const }
-    const choosing = medianMilliseconds(runs, () => new EligibilityDesk(createBacklog(), () => [line], () => {}, () => 1), desk => desk.pump())
+    const line = { instance: 'entry', request: async () => ({ kind: 'failed', reason: 'not asked' }) as const }
+    const choosing = medianMilliseconds(runs, () => new EligibilityRequester(createBacklog(), () => [line], () => {}, () => 1), desk => desk.sendRequests())
     printRow([steps, placing.toFixed(2), choosing.toFixed(2)])
   }
 }
@@ -104,7 +104,7 @@
     const former = createScheduler(workers)
     addJobs(former, jobs, random)
     former.place(0)
-    const records = [...former.jobs.values()].map(job => ({ identity: job.identity, submission: encodeRecord(job.submission), progress: encodeRecord(progressOf(job)) }))
+    const records = [...former.jobs.values()].map(job => ({ identity: job.identity, submission: encodeRecord(job.submission), progress: encodeRecord(toProgressRecord(job)) }))
     const milliseconds = medianMilliseconds(runs, () => createScheduler(workers), scheduler => {
       for (const { identity, submission, progress } of records) scheduler.addJob(identity, decodeRecord<SubmissionRecord>(submission), 0, { progress: decodeRecord<ProgressRecord>(progress) })
     })
--- a/src/cluster/clusterInstance.ts
+++ b/src/cluster/clusterInstance.ts
@@ -5,7 +5,7 @@
 import type { ClusterConfiguration } from '../contracts/clusterConfiguration.js'
 import { decodeRecord, encodeRecord, type LeadershipRecord } from '../contracts/clusterRecords.js'
 import type { ClusterSettings } from '../contracts/clusterSettings.js'
-import { ActingScheduler, type StateAnswer } from './actingScheduler.js'
+import { ActiveScheduler, type JobStateResult } from './activeScheduler.js'
 import type { ClusterMetrics } from './clusterMetrics.js'
 import { InstanceLinks } from './instanceLinks.js'
 import { JobFront, type SchedulerQuestions } from './jobFront.js'
@@ -58,7 +58,7 @@
   private readonly workerEntries = new Map<string, WorkerEntry>()
   private readonly links: InstanceLinks
   private configurationInForce: ClusterConfiguration | undefined
-  private acting: ActingScheduler | undefined
+  private acting: ActiveScheduler | undefined
   private isClaiming = false
   /** When this instance stops acting although nobody has shut it out; set when another instance claims the role. */
   private actingEndsAt: number | undefined
@@ -94,7 +94,7 @@
     this.front = this.register(new JobFront(log, this, logger, random, now))
     this.links = this.register(new InstanceLinks({ instance: settings.instance, incarnation: this.incarnation, processorShare: settings.processorShare, linkMegabits: settings.linkMegabits }, eligibility, {
       stateOf: job => this.acting?.stateOf(job),
-      waitingOf: queue => this.acting?.waitingOf(queue),
+      waitingOf: queue => this.acting?.countWaitingJobs(queue),
       onRoleOffer: incarnation => this.onRoleOffer(incarnation),
       onHolderEnded: incarnation => this.leadership.onHolderEnded(incarnation, this.now())
     }, logger, random, now))
@@ -106,10 +106,10 @@
     metrics.addGauge('term', 'Term of the acting scheduler as this instance knows it', () => this.leadership.current?.term ?? 0)
     metrics.addGauge('configuration_revision', 'Revision of the configuration in force here', () => this.configurationInForce?.revision ?? 0)
     metrics.addGauge('scheduling_capacity_cores', 'Work of the acting scheduler that this instance can carry', () => this.capacity)
-    metrics.addGauge('jobs', 'Jobs that the acting scheduler here keeps', () => this.acting?.figures.jobs ?? 0)
-    metrics.addGauge('open_steps', 'Steps with tasks that wait for room', () => this.acting?.figures.openSteps ?? 0)
-    metrics.addGauge('unrecorded_ends', 'Ends of runs that the acting scheduler here knows and the log does not hold', () => this.acting?.figures.unrecordedEnds ?? 0)
-    metrics.addGauge('workers', 'Workers that the acting scheduler here knows', () => this.acting?.figures.workers ?? 0)
+    metrics.addGauge('jobs', 'Jobs that the acting scheduler here keeps', () => this.acting?.counts.jobs ?? 0)
+    metrics.addGauge('open_steps', 'Steps with tasks that wait for room', () => this.acting?.counts.readySteps ?? 0)
+    metrics.addGauge('unrecorded_ends', 'Ends of runs that the acting scheduler here knows and the log does not hold', () => this.acting?.counts.unrecordedEnds ?? 0)
+    metrics.addGauge('workers', 'Workers that the acting scheduler here knows', () => this.acting?.counts.workers ?? 0)
   }
 
   /** Starts listening for links and following the log. */
@@ -148,14 +148,14 @@
     await this.resign(this.links.pickSuccessor(), 'the instance stops')
   }
 
-  async stateOf (job: string, timeoutMilliseconds: number): Promise<StateAnswer | undefined> {
+  async stateOf (job: string, timeoutMilliseconds: number): Promise<JobStateResult | undefined> {
     if (this.acting !== undefined) return this.acting.stateOf(job)
     const reply = await this.links.askHolder({ type: 'stateQuestion', job }, timeoutMilliseconds)
-    return reply?.type === 'stateReply' ? reply.state as StateAnswer : undefined
+    return reply?.type === 'stateReply' ? reply.state as JobStateResult : undefined
   }
 
   async waitingOf (queue: string, timeoutMilliseconds: number): Promise<number | undefined> {
-    if (this.acting !== undefined) return this.acting.waitingOf(queue)
+    if (this.acting !== undefined) return this.acting.countWaitingJobs(queue)
     const reply = await this.links.askHolder({ type: 'waitingQuestion', queue }, timeoutMilliseconds)
     return reply?.type === 'waitingReply' && reply.waiting >= 0 ? reply.waiting : undefined
   }
@@ -321,12 +321,12 @@
     const term = this.leadership.current?.term
     if (term === undefined || this.configurationInForce === undefined) return
     this.actingEndsAt = undefined
-    const acting = new ActingScheduler(this.log, this.workers, {
+    const acting = new ActiveScheduler(this.log, this.workers, {
       term,
       bounds: this.settings.bounds,
       renewedAt: () => this.renewedAt,
-      lines: () => this.links.eligibilityLines(),
-      onDeposed: () => this.onDeposed(acting)
+      eligibilityChannels: () => this.links.eligibilityLines(),
+      onSuperseded: () => this.onDeposed(acting)
     }, this.metrics, this.logger, this.random, this.now)
     this.acting = acting
     this.handOverNotBefore = this.now() + HANDOVER_PAUSE_MILLISECONDS
@@ -334,7 +334,7 @@
     acting.takeOver(this.configurationInForce, this.workerEntries.values())
   }
 
-  private onDeposed (acting: ActingScheduler): void {
+  private onDeposed (acting: ActiveScheduler): void {
     if (this.acting !== acting) return
     this.leadership.onDeposed()
     this.stopActing('a later term is in force')
@@ -343,7 +343,7 @@
   private stopActing (reason: string): void {
     this.actingEndsAt = undefined
     if (this.acting === undefined) return
-    const { unrecordedEnds } = this.acting.figures
+    const { unrecordedEnds } = this.acting.counts
     this.acting.dispose()
     this.acting = undefined
     this.logger.info('no longer acting as scheduler', { term: this.leadership.current?.term, reason, count: unrecordedEnds })
--- a/test/fuzz/clusterFaults.ts
+++ b/test/fuzz/clusterFaults.ts
@@ -1,5 +1,5 @@
 import { ClusterScheduler } from '../../src/cluster/clusterScheduler.js'
-import type { Task } from '../../src/cluster/jobBook.js'
+import type { Task } from '../../src/cluster/job.js'
 import { ProgressWriter } from '../../src/cluster/progressWriter.js'
 import { WorkerSession } from '../../src/cluster/workerSession.js'
 import { WorkerState } from '../../src/cluster/workerState.js'
@@ -79,7 +79,7 @@
     checks: ['RunsOnce', 'WithinRoom'],
     seed: 1,
     runs: 15,
-    plant: replace(ClusterScheduler, 'isGone', () => true)
+    plant: replace(ClusterScheduler, 'isRunAbsent', () => true)
   },
   {
     name: 'runs are given up when their worker shows a new process',
