--- a/src/cluster/clusterInstance.ts
+++ b/src/cluster/clusterInstance.ts
@@ -8,7 +8,7 @@
 import { ActingScheduler, type StateAnswer } from './actingScheduler.js'
 import type { ClusterMetrics } from './clusterMetrics.js'
 import { InstanceLinks } from './instanceLinks.js'
-import { JobFront, type SchedulerQuestions } from './jobFront.js'
+import { JobService, type SchedulerQuestions } from './jobFront.js'
 import { Leadership, RENEWAL_PERIOD_MILLISECONDS } from './leadership.js'
 import type { Peer } from './peerSet.js'
 import { schedulingCapacityOf } from './schedulingCapacity.js'
@@ -49,7 +49,7 @@
 
 /** One instance: serves callers, and acts as the scheduler while it holds the role. */
 export class ClusterInstance extends DisposableObject implements SchedulerQuestions {
-  readonly front: JobFront
+  readonly front: JobService
   private readonly incarnation = randomUUID()
   private readonly leadership: Leadership
   private readonly leadershipFollower: TopicFollower
@@ -91,7 +91,7 @@
     this.linkAddress = `${settings.link.host}:${settings.link.port}`
     this.capacity = schedulingCapacityOf(settings)
     this.leadership = new Leadership(settings.instance, this.incarnation, Math.round(RANK_OF_ONE_CORE / this.capacity), random.fraction())
-    this.front = this.register(new JobFront(log, this, logger, random, now))
+    this.front = this.register(new JobService(log, this, logger, random, now))
     this.links = this.register(new InstanceLinks({ instance: settings.instance, incarnation: this.incarnation, processorShare: settings.processorShare, linkMegabits: settings.linkMegabits }, eligibility, {
       stateOf: job => this.acting?.stateOf(job),
       waitingOf: queue => this.acting?.waitingOf(queue),
--- a/src/cluster/jobFront.ts
+++ b/src/cluster/jobFront.ts
@@ -38,7 +38,7 @@
 }
 
 /** Serves callers: accepts jobs into the log, and answers questions with what the acting scheduler knows. */
-export class JobFront extends DisposableObject {
+export class JobService extends DisposableObject {
   private readonly appender: SubmissionAppender
   /** Jobs that the log holds for certain. */
   private readonly accepted = new BoundedMap<true>(REMEMBERED_JOBS)
