--- a/src/cluster/clusterInstance.ts
+++ b/src/cluster/clusterInstance.ts
@@ -136,7 +136,7 @@
   /** Whether new callers should be sent here. */
   get isReady (): boolean {
     const readAt = this.configurationFollower.lastReadAt
-    return !this.isStopping && this.configurationInForce !== undefined && readAt !== undefined && this.now() - readAt < UNREADY_WITHOUT_LOG_MILLISECONDS && !this.front.isLogAway
+    return !this.isStopping && this.configurationInForce !== undefined && readAt !== undefined && this.now() - readAt < UNREADY_WITHOUT_LOG_MILLISECONDS && !this.front.isLogUnavailable
   }
 
   /**
--- a/src/cluster/jobFront.ts
+++ b/src/cluster/jobFront.ts
@@ -49,7 +49,7 @@
   }
 
   /** Whether a job handed in now would be refused because the log is away. */
-  get isLogAway (): boolean {
+  get isLogUnavailable (): boolean {
     return this.appender.isStalled
   }
 
