--- a/src/cluster/jobFront.ts
+++ b/src/cluster/jobFront.ts
@@ -103,7 +103,7 @@
   }
 
   /** Jobs of a queue of which no task has started; undefined if that cannot be found out in time. */
-  async waiting (queue: string, timeLimitMilliseconds: number): Promise<number | undefined> {
+  async countWaitingJobs (queue: string, timeLimitMilliseconds: number): Promise<number | undefined> {
     const startedAt = this.now()
     const count = await this.askUntil(timeLimitMilliseconds, async timeout => await this.scheduler.waitingOf(queue, timeout))
     this.logger.info('waiting jobs asked for', { queue, count, durationMilliseconds: Math.round(this.now() - startedAt) })
--- a/test/cluster/clusterInstance.test.ts
+++ b/test/cluster/clusterInstance.test.ts
@@ -124,7 +124,7 @@
     assert.equal((await third.front.submit(JOB, queue, job, 3000)).kind, 'accepted')
     await until(async () => await third.front.state(JOB, 3000) === 'completed')
     await until(async () => await third.front.state('00000000000000bb', 3000) === 'unknownJob')
-    assert.equal(await second.front.waiting('queue', 3000), 0)
+    assert.equal(await second.front.countWaitingJobs('queue', 3000), 0)
     assert.equal(site.port.workers.get('w1')?.started.length, 2)
   }))
 
--- a/test/platform/callerServer.test.ts
+++ b/test/platform/callerServer.test.ts
@@ -32,7 +32,7 @@
         submit: async () => await new Promise<SubmitAnswer>(resolve => { this.stored.push(() => resolve({ kind: 'accepted' })) }),
         state: async () => 'pending',
         cancel: async () => 'cancelled',
-        waiting: async () => 3
+        countWaitingJobs: async () => 3
       }
     }
     this.server = new CallerServer(services, new ClusterMetrics(), () => performance.now())
