--- a/src/cluster/jobFront.ts
+++ b/src/cluster/jobFront.ts
@@ -79,8 +79,8 @@
   async cancel (identity: string, timeLimitMilliseconds: number): Promise<CancelAnswer> {
     const startedAt = this.now()
     if (!this.accepted.has(identity)) {
-      const state = await this.state(identity, timeLimitMilliseconds)
-      if (state === 'unknownJob' || state === 'unavailable') return state
+      const getState = await this.getState(identity, timeLimitMilliseconds)
+      if (getState === 'unknownJob' || getState === 'unavailable') return getState
     }
     const left = timeLimitMilliseconds - (this.now() - startedAt) - ANSWER_MARGIN_MILLISECONDS
     if (this.appender.isStalled || left <= 0) return 'unavailable'
@@ -89,12 +89,12 @@
   }
 
   /** State of a job. */
-  async state (identity: string, timeLimitMilliseconds: number): Promise<StateReply> {
+  async getState (identity: string, timeLimitMilliseconds: number): Promise<StateReply> {
     const final = this.finalStates.get(identity)
     if (final !== undefined) return final
     const answer = await this.askUntil(timeLimitMilliseconds, async timeout => {
-      const state = await this.scheduler.stateOf(identity, timeout)
-      return state === 'unsure' || (state === 'unknown' && this.accepted.has(identity)) ? undefined : state
+      const getState = await this.scheduler.stateOf(identity, timeout)
+      return getState === 'unsure' || (getState === 'unknown' && this.accepted.has(identity)) ? undefined : getState
     })
     if (answer === undefined) return this.accepted.has(identity) ? 'pending' : 'unavailable'
     if (answer === 'unknown') return 'unknownJob'
--- a/test/platform/callerServer.test.ts
+++ b/test/platform/callerServer.test.ts
@@ -30,7 +30,7 @@
       },
       front: {
         submit: async () => await new Promise<SubmitAnswer>(resolve => { this.stored.push(() => resolve({ kind: 'accepted' })) }),
-        state: async () => 'pending',
+        getState: async () => 'pending',
         cancel: async () => 'cancelled',
         countWaitingJobs: async () => 3
       }
