--- a/src/cluster/jobFront.ts
+++ b/src/cluster/jobFront.ts
@@ -21,7 +21,7 @@
 /** Time after which a refused caller should come back, in seconds: callers wait a few seconds in all, and the log may be back any moment. */
 export const RETRY_AFTER_SECONDS = 1
 
-export type SubmitAnswer =
+export type SubmitResult =
   | { readonly kind: 'accepted' }
   /** The job was not stored and never runs. */
   | { readonly kind: 'refused', readonly reason: string, readonly retryAfterSeconds: number }
@@ -59,7 +59,7 @@
   }
 
   /** Stores a job. A repeat of a stored one is accepted again. */
-  async submit (identity: string, queue: Queue, job: StepJob, timeLimitMilliseconds: number): Promise<SubmitAnswer> {
+  async submit (identity: string, queue: Queue, job: StepJob, timeLimitMilliseconds: number): Promise<SubmitResult> {
     if (this.accepted.has(identity)) return { kind: 'accepted' }
     const startedAt = this.now()
     if (this.appender.isStalled) return this.refuse(identity, 'the log is away')
@@ -110,7 +110,7 @@
     return count
   }
 
-  private refuse (identity: string, reason: string): SubmitAnswer {
+  private refuse (identity: string, reason: string): SubmitResult {
     this.logger.info('job refused', { job: identity, reason })
     return { kind: 'refused', reason, retryAfterSeconds: RETRY_AFTER_SECONDS }
   }
--- a/test/platform/callerServer.test.ts
+++ b/test/platform/callerServer.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test'
 import { CallerServer, type CallerServices } from '../../platform/callerServer.js'
 import { ClusterMetrics } from '../../src/cluster/clusterMetrics.js'
-import type { SubmitAnswer } from '../../src/cluster/jobFront.js'
+import type { SubmitResult } from '../../src/cluster/jobFront.js'
 import { RawCaller, untilTrue } from '../fakes/rawCaller.js'
 
 const GRACE_MILLISECONDS = 20_000
@@ -29,7 +29,7 @@
         maximumBodyBytes: 10_000
       },
       front: {
-        submit: async () => await new Promise<SubmitAnswer>(resolve => { this.stored.push(() => resolve({ kind: 'accepted' })) }),
+        submit: async () => await new Promise<SubmitResult>(resolve => { this.stored.push(() => resolve({ kind: 'accepted' })) }),
         getState: async () => 'pending',
         cancel: async () => 'cancelled',
         countWaitingJobs: async () => 3
