--- a/src/cluster/jobFront.ts
+++ b/src/cluster/jobFront.ts
@@ -28,7 +28,7 @@
   /** The job may be stored; a repeat with the same identity is the same job. */
   | { readonly kind: 'unknown' }
 
-export type CancelAnswer = 'cancelled' | 'unknownJob' | 'unavailable'
+export type CancelResult = 'cancelled' | 'unknownJob' | 'unavailable'
 export type StateReply = JobState | 'unknownJob' | 'unavailable'
 
 /** Questions that only the acting scheduler can answer; undefined if it cannot be reached. */
@@ -76,7 +76,7 @@
   }
 
   /** Cancels a job; resolves once the cancel is stored. */
-  async cancel (identity: string, timeLimitMilliseconds: number): Promise<CancelAnswer> {
+  async cancel (identity: string, timeLimitMilliseconds: number): Promise<CancelResult> {
     const startedAt = this.now()
     if (!this.accepted.has(identity)) {
       const getState = await this.getState(identity, timeLimitMilliseconds)
