--- a/src/cluster/jobFront.ts
+++ b/src/cluster/jobFront.ts
@@ -29,7 +29,7 @@
   | { readonly kind: 'unknown' }
 
 export type CancelResult = 'cancelled' | 'unknownJob' | 'unavailable'
-export type StateReply = JobState | 'unknownJob' | 'unavailable'
+export type StateResult = JobState | 'unknownJob' | 'unavailable'
 
 /** Questions that only the acting scheduler can answer; undefined if it cannot be reached. */
 export interface SchedulerQuestions {
@@ -89,7 +89,7 @@
   }
 
   /** State of a job. */
-  async getState (identity: string, timeLimitMilliseconds: number): Promise<StateReply> {
+  async getState (identity: string, timeLimitMilliseconds: number): Promise<StateResult> {
     const final = this.finalStates.get(identity)
     if (final !== undefined) return final
     const answer = await this.askUntil(timeLimitMilliseconds, async timeout => {
