--- a/src/cluster/clusterInstance.ts
+++ b/src/cluster/clusterInstance.ts
@@ -8,7 +8,7 @@
 import { ActingScheduler, type StateAnswer } from './actingScheduler.js'
 import type { ClusterMetrics } from './clusterMetrics.js'
 import { InstanceLinks } from './instanceLinks.js'
-import { JobService, type SchedulerQuestions } from './jobFront.js'
+import { JobService, type SchedulerQueries } from './jobFront.js'
 import { Leadership, RENEWAL_PERIOD_MILLISECONDS } from './leadership.js'
 import type { Peer } from './peerSet.js'
 import { schedulingCapacityOf } from './schedulingCapacity.js'
@@ -48,7 +48,7 @@
 }
 
 /** One instance: serves callers, and acts as the scheduler while it holds the role. */
-export class ClusterInstance extends DisposableObject implements SchedulerQuestions {
+export class ClusterInstance extends DisposableObject implements SchedulerQueries {
   readonly front: JobService
   private readonly incarnation = randomUUID()
   private readonly leadership: Leadership
--- a/src/cluster/jobFront.ts
+++ b/src/cluster/jobFront.ts
@@ -32,7 +32,7 @@
 export type StateResult = JobState | 'unknownJob' | 'unavailable'
 
 /** Questions that only the acting scheduler can answer; undefined if it cannot be reached. */
-export interface SchedulerQuestions {
+export interface SchedulerQueries {
   stateOf (job: string, timeoutMilliseconds: number): Promise<StateAnswer | undefined>
   waitingOf (queue: string, timeoutMilliseconds: number): Promise<number | undefined>
 }
@@ -43,7 +43,7 @@
   /** Jobs that the log holds for certain. */
   private readonly accepted = new BoundedMap<true>(REMEMBERED_JOBS)
   private readonly finalStates = new BoundedMap<JobState>(REMEMBERED_JOBS)
-  constructor (log: RecordLog, private readonly scheduler: SchedulerQuestions, private readonly logger: Logger, random: Random, private readonly now: () => number) {
+  constructor (log: RecordLog, private readonly scheduler: SchedulerQueries, private readonly logger: Logger, random: Random, private readonly now: () => number) {
     super()
     this.appender = this.register(new SubmissionAppender(log, random.integerBelow(SUBMISSION_PARTITIONS), (reason, count) => logger.warn('submissions could not be stored', { reason, count }), now))
   }
