--- a/src/cluster/clusterInstance.ts
+++ b/src/cluster/clusterInstance.ts
@@ -148,7 +148,7 @@
     await this.resign(this.links.pickSuccessor(), 'the instance stops')
   }
 
-  async stateOf (job: string, timeoutMilliseconds: number): Promise<StateAnswer | undefined> {
+  async getJobState (job: string, timeoutMilliseconds: number): Promise<StateAnswer | undefined> {
     if (this.acting !== undefined) return this.acting.stateOf(job)
     const reply = await this.links.askHolder({ type: 'stateQuestion', job }, timeoutMilliseconds)
     return reply?.type === 'stateReply' ? reply.state as StateAnswer : undefined
--- a/src/cluster/jobFront.ts
+++ b/src/cluster/jobFront.ts
@@ -33,7 +33,7 @@
 
 /** Questions that only the acting scheduler can answer; undefined if it cannot be reached. */
 export interface SchedulerQueries {
-  stateOf (job: string, timeoutMilliseconds: number): Promise<StateAnswer | undefined>
+  getJobState (job: string, timeoutMilliseconds: number): Promise<StateAnswer | undefined>
   waitingOf (queue: string, timeoutMilliseconds: number): Promise<number | undefined>
 }
 
@@ -93,7 +93,7 @@
     const final = this.finalStates.get(identity)
     if (final !== undefined) return final
     const answer = await this.askUntil(timeLimitMilliseconds, async timeout => {
-      const getState = await this.scheduler.stateOf(identity, timeout)
+      const getState = await this.scheduler.getJobState(identity, timeout)
       return getState === 'unsure' || (getState === 'unknown' && this.accepted.has(identity)) ? undefined : getState
     })
     if (answer === undefined) return this.accepted.has(identity) ? 'pending' : 'unavailable'
