--- a/src/cluster/clusterInstance.ts
+++ b/src/cluster/clusterInstance.ts
@@ -154,7 +154,7 @@
     return reply?.type === 'stateReply' ? reply.state as StateAnswer : undefined
   }
 
-  async waitingOf (queue: string, timeoutMilliseconds: number): Promise<number | undefined> {
+  async countWaitingJobs (queue: string, timeoutMilliseconds: number): Promise<number | undefined> {
     if (this.acting !== undefined) return this.acting.waitingOf(queue)
     const reply = await this.links.askHolder({ type: 'waitingQuestion', queue }, timeoutMilliseconds)
     return reply?.type === 'waitingReply' && reply.waiting >= 0 ? reply.waiting : undefined
--- a/src/cluster/jobFront.ts
+++ b/src/cluster/jobFront.ts
@@ -34,7 +34,7 @@
 /** Questions that only the acting scheduler can answer; undefined if it cannot be reached. */
 export interface SchedulerQueries {
   getJobState (job: string, timeoutMilliseconds: number): Promise<StateAnswer | undefined>
-  waitingOf (queue: string, timeoutMilliseconds: number): Promise<number | undefined>
+  countWaitingJobs (queue: string, timeoutMilliseconds: number): Promise<number | undefined>
 }
 
 /** Serves callers: accepts jobs into the log, and answers questions with what the acting scheduler knows. */
@@ -105,7 +105,7 @@
   /** Jobs of a queue of which no task has started; undefined if that cannot be found out in time. */
   async countWaitingJobs (queue: string, timeLimitMilliseconds: number): Promise<number | undefined> {
     const startedAt = this.now()
-    const count = await this.askUntil(timeLimitMilliseconds, async timeout => await this.scheduler.waitingOf(queue, timeout))
+    const count = await this.askUntil(timeLimitMilliseconds, async timeout => await this.scheduler.countWaitingJobs(queue, timeout))
     this.logger.info('waiting jobs asked for', { queue, count, durationMilliseconds: Math.round(this.now() - startedAt) })
     return count
   }
