--- a/test/platform/callerServer.test.ts
+++ b/test/platform/callerServer.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test'
 import { CallerServer, type CallerServices } from '../../platform/callerServer.js'
 import { ClusterMetrics } from '../../src/cluster/clusterMetrics.js'
-import type { SubmitResult } from '../../src/cluster/jobFront.js'
+import type { SubmitResult } from '../../src/cluster/jobService.js'
 import { RawCaller, untilTrue } from '../fakes/rawCaller.js'
 
 const GRACE_MILLISECONDS = 20_000
