--- a/src/cluster/clusterInstance.ts
+++ b/src/cluster/clusterInstance.ts
@@ -49,7 +49,7 @@
 
 /** One instance: serves callers, and acts as the scheduler while it holds the role. */
 export class ClusterInstance extends DisposableObject implements SchedulerQueries {
-  readonly front: JobService
+  readonly jobService: JobService
   private readonly incarnation = randomUUID()
   private readonly leadership: Leadership
   private readonly leadershipFollower: TopicFollower
@@ -91,7 +91,7 @@
     this.linkAddress = `${settings.link.host}:${settings.link.port}`
     this.capacity = schedulingCapacityOf(settings)
     this.leadership = new Leadership(settings.instance, this.incarnation, Math.round(RANK_OF_ONE_CORE / this.capacity), random.fraction())
-    this.front = this.register(new JobService(log, this, logger, random, now))
+    this.jobService = this.register(new JobService(log, this, logger, random, now))
     this.links = this.register(new InstanceLinks({ instance: settings.instance, incarnation: this.incarnation, processorShare: settings.processorShare, linkMegabits: settings.linkMegabits }, eligibility, {
       stateOf: job => this.acting?.stateOf(job),
       waitingOf: queue => this.acting?.waitingOf(queue),
@@ -136,7 +136,7 @@
   /** Whether new callers should be sent here. */
   get isReady (): boolean {
     const readAt = this.configurationFollower.lastReadAt
-    return !this.isStopping && this.configurationInForce !== undefined && readAt !== undefined && this.now() - readAt < UNREADY_WITHOUT_LOG_MILLISECONDS && !this.front.isLogUnavailable
+    return !this.isStopping && this.configurationInForce !== undefined && readAt !== undefined && this.now() - readAt < UNREADY_WITHOUT_LOG_MILLISECONDS && !this.jobService.isLogUnavailable
   }
 
   /**
@@ -239,7 +239,7 @@
     if (this.acting !== undefined && this.actingEndsAt !== undefined && this.now() >= this.actingEndsAt) this.stopActing('another instance holds the role')
     if (this.isStopping || this.isClaiming || this.configurationInForce === undefined) return
     const asOf = this.leadershipFollower.currentAsOf
-    if (this.leadership.shouldClaim(this.now(), asOf, this.front.logLatencyMilliseconds)) this.claim()
+    if (this.leadership.shouldClaim(this.now(), asOf, this.jobService.logLatencyMilliseconds)) this.claim()
   }
 
   private async claim (): Promise<void> {
--- a/test/cluster/clusterInstance.test.ts
+++ b/test/cluster/clusterInstance.test.ts
@@ -120,11 +120,11 @@
     const instances = [await site.start('one'), await site.start('two'), await site.start('three')]
     const [, second, third] = instances
     assert.ok(second !== undefined && third !== undefined)
-    await until(async () => (await second.front.submit(JOB, queue, job, 3000)).kind === 'accepted')
-    assert.equal((await third.front.submit(JOB, queue, job, 3000)).kind, 'accepted')
-    await until(async () => await third.front.getState(JOB, 3000) === 'completed')
-    await until(async () => await third.front.getState('00000000000000bb', 3000) === 'unknownJob')
-    assert.equal(await second.front.countWaitingJobs('queue', 3000), 0)
+    await until(async () => (await second.jobService.submit(JOB, queue, job, 3000)).kind === 'accepted')
+    assert.equal((await third.jobService.submit(JOB, queue, job, 3000)).kind, 'accepted')
+    await until(async () => await third.jobService.getState(JOB, 3000) === 'completed')
+    await until(async () => await third.jobService.getState('00000000000000bb', 3000) === 'unknownJob')
+    assert.equal(await second.jobService.countWaitingJobs('queue', 3000), 0)
     assert.equal(site.port.workers.get('w1')?.started.length, 2)
   }))
 
@@ -167,7 +167,7 @@
     await until(() => first.isActing())
     const small = [await site.start('two', SMALL), await site.start('three', SMALL), await site.start('four', SMALL)]
     const large = await site.start('five', { processorShare: 1.2, linkMegabits: 1000 })
-    for (const instance of [...small, large]) await until(async () => await instance.front.getState('00000000000000bb', 3000) === 'unknownJob')
+    for (const instance of [...small, large]) await until(async () => await instance.jobService.getState('00000000000000bb', 3000) === 'unknownJob')
     await first.prepareStop()
     await until(() => !first.isActing())
     assert.ok(large.isActing())
@@ -201,8 +201,8 @@
       await site.log.append(TOPICS.progress, 0, [], { writer: { name: 'scheduler', term: 3, sequence } })
     }
     const instance = await site.start('one')
-    await until(async () => (await instance.front.submit(JOB, queue, job, 3000)).kind === 'accepted')
-    await until(async () => await instance.front.getState(JOB, 3000) === 'completed')
+    await until(async () => (await instance.jobService.submit(JOB, queue, job, 3000)).kind === 'accepted')
+    await until(async () => await instance.jobService.getState(JOB, 3000) === 'completed')
   }))
 
   it('goes on with another scheduler when the acting one ends, and runs nothing twice', async () => await withSite(async site => {
@@ -211,12 +211,12 @@
     const instances = [await site.start('one'), await site.start('two')]
     const [first, second] = instances
     assert.ok(first !== undefined && second !== undefined)
-    await until(async () => (await first.front.submit(JOB, queue, job, 3000)).kind === 'accepted')
+    await until(async () => (await first.jobService.submit(JOB, queue, job, 3000)).kind === 'accepted')
     await until(() => worker.running.size === 2)
     const acting = first.isActing() ? first : second
     acting.dispose()
     const survivor = acting === first ? second : first
-    await until(async () => await survivor.front.getState(JOB, 3000) === 'completed')
+    await until(async () => await survivor.jobService.getState(JOB, 3000) === 'completed')
     assert.equal(worker.started.length, 2)
   }))
 
@@ -226,12 +226,12 @@
     const first = await site.start('one')
     await until(() => first.isActing())
     const second = await site.start('two')
-    await until(async () => await second.front.getState('00000000000000bb', 3000) === 'unknownJob')
+    await until(async () => await second.jobService.getState('00000000000000bb', 3000) === 'unknownJob')
     await first.prepareStop()
     assert.equal(first.isReady, false)
     await until(() => second.isActing() && !first.isActing())
-    await until(async () => (await first.front.submit(JOB, queue, job, 3000)).kind === 'accepted')
-    await until(async () => await first.front.getState(JOB, 3000) === 'completed')
+    await until(async () => (await first.jobService.submit(JOB, queue, job, 3000)).kind === 'accepted')
+    await until(async () => await first.jobService.getState(JOB, 3000) === 'completed')
     assert.equal(worker.started.length, 2)
   }))
 })
