--- a/src/cluster/clusterInstance.ts
+++ b/src/cluster/clusterInstance.ts
@@ -129,7 +129,7 @@
   }
 
   /** Whether this instance places tasks at present. */
-  isActing (): boolean {
+  isSchedulerActive (): boolean {
     return this.acting !== undefined
   }
 
--- a/test/cluster/clusterInstance.test.ts
+++ b/test/cluster/clusterInstance.test.ts
@@ -139,8 +139,8 @@
       const large = await site.start('four', largest)
       await new Promise(resolve => setTimeout(resolve, 1000))
       site.publish(5)
-      await until(() => [...small, large].some(instance => instance.isActing()))
-      assert.ok(large.isActing())
+      await until(() => [...small, large].some(instance => instance.isSchedulerActive()))
+      assert.ok(large.isSchedulerActive())
     }))
   }
 
@@ -153,31 +153,31 @@
     it(`hands the role from ${name}`, async () => await withSite(async site => {
       site.publish(5)
       const small = await site.start('one', first)
-      await until(() => small.isActing())
+      await until(() => small.isSchedulerActive())
       const medium = await site.start('two', alike)
       const large = await site.start('three', larger)
-      await until(() => large.isActing() && !small.isActing())
-      assert.ok(!medium.isActing())
+      await until(() => large.isSchedulerActive() && !small.isSchedulerActive())
+      assert.ok(!medium.isSchedulerActive())
     }))
   }
 
   it('names one of the largest instances as its successor when it stops', async () => await withSite(async site => {
     site.publish(5)
     const first = await site.start('one', { processorShare: 1.3, linkMegabits: 1000 })
-    await until(() => first.isActing())
+    await until(() => first.isSchedulerActive())
     const small = [await site.start('two', SMALL), await site.start('three', SMALL), await site.start('four', SMALL)]
     const large = await site.start('five', { processorShare: 1.2, linkMegabits: 1000 })
     for (const instance of [...small, large]) await until(async () => await instance.jobService.getState('00000000000000bb', 3000) === 'unknownJob')
     await first.prepareStop()
-    await until(() => !first.isActing())
-    assert.ok(large.isActing())
+    await until(() => !first.isSchedulerActive())
+    assert.ok(large.isSchedulerActive())
   }))
 
   /** Appends on two connections may overtake each other. */
   it('does not take its resignation back with a renewal that was under way', async () => await withSite(async site => {
     site.publish(5)
     const first = await site.start('one')
-    await until(() => first.isActing())
+    await until(() => first.isSchedulerActive())
     site.log.appendMilliseconds = 300
     const appends = site.log.appends
     await until(() => site.log.appends > appends)
@@ -213,7 +213,7 @@
     assert.ok(first !== undefined && second !== undefined)
     await until(async () => (await first.jobService.submit(JOB, queue, job, 3000)).kind === 'accepted')
     await until(() => worker.running.size === 2)
-    const acting = first.isActing() ? first : second
+    const acting = first.isSchedulerActive() ? first : second
     acting.dispose()
     const survivor = acting === first ? second : first
     await until(async () => await survivor.jobService.getState(JOB, 3000) === 'completed')
@@ -224,12 +224,12 @@
     site.publish(5)
     const worker = site.addWorker('w1', 50)
     const first = await site.start('one')
-    await until(() => first.isActing())
+    await until(() => first.isSchedulerActive())
     const second = await site.start('two')
     await until(async () => await second.jobService.getState('00000000000000bb', 3000) === 'unknownJob')
     await first.prepareStop()
     assert.equal(first.isReady, false)
-    await until(() => second.isActing() && !first.isActing())
+    await until(() => second.isSchedulerActive() && !first.isSchedulerActive())
     await until(async () => (await first.jobService.submit(JOB, queue, job, 3000)).kind === 'accepted')
     await until(async () => await first.jobService.getState(JOB, 3000) === 'completed')
     assert.equal(worker.started.length, 2)
