--- a/src/cluster/clusterInstance.ts
+++ b/src/cluster/clusterInstance.ts
@@ -38,7 +38,7 @@
 const UNREADY_WITHOUT_LOG_MILLISECONDS = FOLLOW_WAIT_MILLISECONDS + 1000
 
 /** Sources of what operators and workers write, which the platform's adapter decodes. */
-export interface ClusterFeeds {
+export interface PlatformTopics {
   readonly configurationTopic: string
   readonly workerTopic: string
   /** The configuration in a record; undefined if the record is something else or cannot be read. */
@@ -81,7 +81,7 @@
     private readonly log: RecordLog,
     private readonly workers: WorkerPort,
     eligibility: EligibilityPort,
-    private readonly feeds: ClusterFeeds,
+    private readonly feeds: PlatformTopics,
     private readonly metrics: ClusterMetrics,
     private readonly logger: Logger,
     private readonly random: Random,
--- a/test/cluster/clusterInstance.test.ts
+++ b/test/cluster/clusterInstance.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test'
 import { Logger } from '../../src/base/logger.js'
 import { Random } from '../../src/base/random.js'
-import { ClusterInstance, type ClusterFeeds } from '../../src/cluster/clusterInstance.js'
+import { ClusterInstance, type PlatformTopics } from '../../src/cluster/clusterInstance.js'
 import { ClusterMetrics } from '../../src/cluster/clusterMetrics.js'
 import type { InstanceResources } from '../../src/cluster/schedulingCapacity.js'
 import { EligibilityPort, type EligibilityOutcome } from '../../src/cluster/workerPort.js'
@@ -25,7 +25,7 @@
   maximumBodyBytes: 1000
 }
 
-const feeds: ClusterFeeds = {
+const feeds: PlatformTopics = {
   configurationTopic: 'configuration',
   workerTopic: 'workers',
   decodeConfiguration: record => JSON.parse(Buffer.from(record.value ?? []).toString()),
