--- a/src/cluster/workerPort.ts
+++ b/src/cluster/workerPort.ts
@@ -93,7 +93,7 @@
 
 /** Orders to workers. No method rejects; failures are outcomes. */
 export abstract class WorkerPort {
-  abstract look (worker: WorkerAddress, order: LookOrder, signal?: AbortSignal): Promise<LookOutcome>
+  abstract poll (worker: WorkerAddress, order: LookOrder, signal?: AbortSignal): Promise<LookOutcome>
   abstract start (worker: WorkerAddress, order: StartOrder): Promise<OrderOutcome>
   abstract stop (worker: WorkerAddress, task: string, run: number, term: number): Promise<OrderOutcome>
 }
--- a/src/cluster/workerSession.ts
+++ b/src/cluster/workerSession.ts
@@ -162,7 +162,7 @@
     // After a failed look another process may answer, which counts its ends anew.
     const acknowledgedEnd = isInSequence && !this.isSilent ? this.observer.acknowledgedEnd() : 0
     const order = { term: this.options.term, acknowledgedEnd, isInSequence, leaseUntil, waitMilliseconds }
-    const outcome = await this.port.look(this.worker, order, this.abort.signal)
+    const outcome = await this.port.poll(this.worker, order, this.abort.signal)
     if (this.isDisposed) return false
     this.isSilent = outcome.kind !== 'report'
     this.onLookOutcome(outcome, sentAt)
--- a/test/fakes/fakeCluster.ts
+++ b/test/fakes/fakeCluster.ts
@@ -104,7 +104,7 @@
     super()
   }
 
-  override async look ({ identity }: WorkerAddress, order: LookOrder): Promise<LookOutcome> {
+  override async poll ({ identity }: WorkerAddress, order: LookOrder): Promise<LookOutcome> {
     const sent = this.isStillConnected(identity) ? order : { ...order, acknowledgedEnd: 0 }
     const outcome = await this.call<LookOutcome>(identity, async worker => await worker.look(sent), LOOK_SLACK_MILLISECONDS + order.waitMilliseconds, { kind: 'failed', reason: 'timed out' })
     if (order.isInSequence && outcome.kind === 'report') this.connectedTo.set(identity, outcome.report.bornAt)
--- a/test/fakes/fakeClusterWorkers.ts
+++ b/test/fakes/fakeClusterWorkers.ts
@@ -212,7 +212,7 @@
     return worker
   }
 
-  override async look (worker: WorkerAddress, order: LookOrder): Promise<LookOutcome> {
+  override async poll (worker: WorkerAddress, order: LookOrder): Promise<LookOutcome> {
     return await this.of(worker).look(order)
   }
 
--- a/test/platform/adapter.test.ts
+++ b/test/platform/adapter.test.ts
@@ -187,7 +187,7 @@
   /** A worker that only the progress of a former scheduler names has no address; a rejection would end the process. */
   it('does not reach a worker without an address', async () => {
     const unlisted = { identity: 'i-1', address: '' }
-    const outcome = await new PlatformWorkerClient(http).look(unlisted, { term: 7, acknowledgedEnd: 0, isInSequence: true, waitMilliseconds: 0 })
+    const outcome = await new PlatformWorkerClient(http).poll(unlisted, { term: 7, acknowledgedEnd: 0, isInSequence: true, waitMilliseconds: 0 })
     assert.equal(outcome.kind, 'failed')
   })
 
@@ -203,7 +203,7 @@
 
   it('decodes a report', async () => {
     answer = json(200, { clockMs: 50, born: 5, running: [['a.0.0.1', 2, 'saved', 41, 300]], ended: [[8, 'a.0.0.2', 1, 'done', ''], [9, 'a.0.0.3', 1, 'unheard', '']] })
-    assert.deepEqual(await new PlatformWorkerClient(http).look(worker(), { term: 7, acknowledgedEnd: 0, isInSequence: false, waitMilliseconds: 0 }), {
+    assert.deepEqual(await new PlatformWorkerClient(http).poll(worker(), { term: 7, acknowledgedEnd: 0, isInSequence: false, waitMilliseconds: 0 }), {
       kind: 'report',
       acknowledgedEnd: 0,
       report: { clockMilliseconds: 50, bornAt: 5, running: [{ task: 'a.0.0.1', run: 2, checkpoint: 'saved', percent: 41 }], ended: [{ number: 8, task: 'a.0.0.2', run: 1, kind: 'done', checkpoint: '' }] }
@@ -219,7 +219,7 @@
     }
     const client = new PlatformWorkerClient(http)
     const look = async (acknowledgedEnd: number, isInSequence = true): Promise<number | string> => {
-      const outcome = await client.look(worker(), { term: 7, acknowledgedEnd, isInSequence, waitMilliseconds: 0 })
+      const outcome = await client.poll(worker(), { term: 7, acknowledgedEnd, isInSequence, waitMilliseconds: 0 })
       return outcome.kind === 'report' ? outcome.acknowledgedEnd : outcome.kind
     }
     assert.equal(await look(0), 0)
@@ -241,9 +241,9 @@
     }
     const client = new PlatformWorkerClient(http)
     const look = { term: 7, acknowledgedEnd: 0, isInSequence: true, waitMilliseconds: 0 }
-    const present = client.look({ identity: 'i-2', address }, { ...look, waitMilliseconds: 20_000 })
+    const present = client.poll({ identity: 'i-2', address }, { ...look, waitMilliseconds: 20_000 })
     while (waiting.length === 0) await new Promise(resolve => setImmediate(resolve))
-    assert.deepEqual(await client.look({ identity: 'i-1', address }, look), { kind: 'replaced' })
+    assert.deepEqual(await client.poll({ identity: 'i-1', address }, look), { kind: 'replaced' })
     waiting[0]?.()
     assert.equal((await present).kind, 'report')
   })
