--- a/src/cluster/workerPort.ts
+++ b/src/cluster/workerPort.ts
@@ -42,7 +42,7 @@
   readonly ended: readonly EndReport[]
 }
 
-export type LookOutcome =
+export type PollOutcome =
   /** `acknowledgedEnd`: up to which end the worker was in fact told to forget; 0 for none. */
   | { readonly kind: 'report', readonly report: WorkerReport, readonly acknowledgedEnd: number }
   /** The worker has obeyed a greater term. */
@@ -93,7 +93,7 @@
 
 /** Orders to workers. No method rejects; failures are outcomes. */
 export abstract class WorkerPort {
-  abstract poll (worker: WorkerAddress, order: LookOrder, signal?: AbortSignal): Promise<LookOutcome>
+  abstract poll (worker: WorkerAddress, order: LookOrder, signal?: AbortSignal): Promise<PollOutcome>
   abstract start (worker: WorkerAddress, order: StartOrder): Promise<OrderOutcome>
   abstract stop (worker: WorkerAddress, task: string, run: number, term: number): Promise<OrderOutcome>
 }
--- a/src/cluster/workerSession.ts
+++ b/src/cluster/workerSession.ts
@@ -1,7 +1,7 @@
 import { setMaxListeners } from 'node:events'
 import { delay } from '../base/delay.js'
 import { DisposableObject, toDisposable } from '../base/disposable.js'
-import type { LookOutcome, OrderOutcome, StartOrder, WorkerAddress, WorkerPort, WorkerReport } from './workerPort.js'
+import type { PollOutcome, OrderOutcome, StartOrder, WorkerAddress, WorkerPort, WorkerReport } from './workerPort.js'
 
 /** How long a worker may wait for an end before it answers a look, in milliseconds; a quarter of the longest lease, so that three looks may fail. */
 const LOOK_WAIT_MILLISECONDS = 1500
@@ -169,7 +169,7 @@
     return outcome.kind === 'report'
   }
 
-  private onLookOutcome (outcome: LookOutcome, sentAt: number): void {
+  private onLookOutcome (outcome: PollOutcome, sentAt: number): void {
     switch (outcome.kind) {
       case 'report':
         this.onReport(outcome.report, sentAt, outcome.acknowledgedEnd)
--- a/test/soak/workerStandin.ts
+++ b/test/soak/workerStandin.ts
@@ -1,4 +1,4 @@
-import type { LookOutcome, OrderOutcome } from '../../src/cluster/workerPort.js'
+import type { PollOutcome, OrderOutcome } from '../../src/cluster/workerPort.js'
 import type { FakeWorker } from '../fakes/fakeClusterWorkers.js'
 import { LoopbackStandin, type StandinAnswer, type StandinRequest } from './loopbackStandin.js'
 
@@ -30,7 +30,7 @@
   }
 }
 
-function encodeLook (outcome: LookOutcome, clockMs: number): StandinAnswer {
+function encodeLook (outcome: PollOutcome, clockMs: number): StandinAnswer {
   switch (outcome.kind) {
     case 'report': {
       const { clockMilliseconds, bornAt, running, ended } = outcome.report
