--- a/src/cluster/workerPort.ts
+++ b/src/cluster/workerPort.ts
@@ -76,7 +76,7 @@
   readonly ticket: string
 }
 
-export interface LookOrder {
+export interface PollRequest {
   readonly term: number
   /**
    * Ends up to this number may be forgotten by the process that gave the latest report of the sequence. Another process under the
@@ -93,7 +93,7 @@
 
 /** Orders to workers. No method rejects; failures are outcomes. */
 export abstract class WorkerPort {
-  abstract poll (worker: WorkerAddress, order: LookOrder, signal?: AbortSignal): Promise<PollOutcome>
+  abstract poll (worker: WorkerAddress, order: PollRequest, signal?: AbortSignal): Promise<PollOutcome>
   abstract start (worker: WorkerAddress, order: StartOrder): Promise<OrderOutcome>
   abstract stop (worker: WorkerAddress, task: string, run: number, term: number): Promise<OrderOutcome>
 }
--- a/test/fakes/fakeCluster.ts
+++ b/test/fakes/fakeCluster.ts
@@ -4,7 +4,7 @@
 import { ClusterMetrics } from '../../src/cluster/clusterMetrics.js'
 import { RecordLog, TOPICS, type AppendOptions, type AppendOutcome, type KeyedRecord, type ReadOutcome, type SnapshotOutcome } from '../../src/cluster/recordLog.js'
 import { cancelKey, SUBMISSION_PARTITIONS } from '../../src/cluster/submissions.js'
-import { WorkerPort, type EndKind, type EndReport, type LookOrder, type PollOutcome, type OrderOutcome, type StartOrder, type WorkerAddress } from '../../src/cluster/workerPort.js'
+import { WorkerPort, type EndKind, type EndReport, type PollRequest, type PollOutcome, type OrderOutcome, type StartOrder, type WorkerAddress } from '../../src/cluster/workerPort.js'
 import type { ClusterConfiguration } from '../../src/contracts/clusterConfiguration.js'
 import { encodeRecord } from '../../src/contracts/clusterRecords.js'
 import { stepJobSchema, type StepJob } from '../../src/contracts/stepJob.js'
@@ -104,7 +104,7 @@
     super()
   }
 
-  override async poll ({ identity }: WorkerAddress, order: LookOrder): Promise<PollOutcome> {
+  override async poll ({ identity }: WorkerAddress, order: PollRequest): Promise<PollOutcome> {
     const sent = this.isStillConnected(identity) ? order : { ...order, acknowledgedEnd: 0 }
     const outcome = await this.call<PollOutcome>(identity, async worker => await worker.look(sent), LOOK_SLACK_MILLISECONDS + order.waitMilliseconds, { kind: 'failed', reason: 'timed out' })
     if (order.isInSequence && outcome.kind === 'report') this.connectedTo.set(identity, outcome.report.bornAt)
--- a/test/fakes/fakeClusterWorkers.ts
+++ b/test/fakes/fakeClusterWorkers.ts
@@ -1,4 +1,4 @@
-import { WorkerPort, type EndKind, type EndReport, type LookOrder, type PollOutcome, type OrderOutcome, type StartOrder, type WorkerAddress, type WorkerEntry } from '../../src/cluster/workerPort.js'
+import { WorkerPort, type EndKind, type EndReport, type PollRequest, type PollOutcome, type OrderOutcome, type StartOrder, type WorkerAddress, type WorkerEntry } from '../../src/cluster/workerPort.js'
 
 /** What a fake worker does with the next orders: answers, carries out without an answer, drops, or refuses as unhealthy or for want of a valid ticket. */
 export type OrderFault = 'none' | 'answerLost' | 'notDelivered' | 'late' | 'unhealthy' | 'ticket'
@@ -79,7 +79,7 @@
     this.bornAt += 1
   }
 
-  async look (order: LookOrder): Promise<PollOutcome> {
+  async look (order: PollRequest): Promise<PollOutcome> {
     this.looks += 1
     if (!this.isReachable) return await afterMilliseconds(order.waitMilliseconds + 600, { kind: 'failed', reason: 'timed out' })
     if (order.term < this.term) return { kind: 'fenced' }
@@ -212,7 +212,7 @@
     return worker
   }
 
-  override async poll (worker: WorkerAddress, order: LookOrder): Promise<PollOutcome> {
+  override async poll (worker: WorkerAddress, order: PollRequest): Promise<PollOutcome> {
     return await this.of(worker).look(order)
   }
 
