--- a/src/cluster/workerPort.ts
+++ b/src/cluster/workerPort.ts
@@ -52,7 +52,7 @@
   | { readonly kind: 'failed', readonly reason: string }
 
 /** Outcome of an order. `unknown` means that it may be carried out, now or seconds later. */
-export type OrderOutcome =
+export type CommandOutcome =
   | { readonly kind: 'done' }
   | { readonly kind: 'refused', readonly reason: 'old' | 'late' | 'room' | 'ticket' | 'unhealthy' | 'invalid' }
   | { readonly kind: 'fenced' }
@@ -94,8 +94,8 @@
 /** Orders to workers. No method rejects; failures are outcomes. */
 export abstract class WorkerPort {
   abstract poll (worker: WorkerAddress, order: PollRequest, signal?: AbortSignal): Promise<PollOutcome>
-  abstract start (worker: WorkerAddress, order: StartOrder): Promise<OrderOutcome>
-  abstract stop (worker: WorkerAddress, task: string, run: number, term: number): Promise<OrderOutcome>
+  abstract start (worker: WorkerAddress, order: StartOrder): Promise<CommandOutcome>
+  abstract stop (worker: WorkerAddress, task: string, run: number, term: number): Promise<CommandOutcome>
 }
 
 /** A worker that may run a step, with the ticket that proves it. */
--- a/src/cluster/workerSession.ts
+++ b/src/cluster/workerSession.ts
@@ -1,7 +1,7 @@
 import { setMaxListeners } from 'node:events'
 import { delay } from '../base/delay.js'
 import { DisposableObject, toDisposable } from '../base/disposable.js'
-import type { PollOutcome, OrderOutcome, StartOrder, WorkerAddress, WorkerPort, WorkerReport } from './workerPort.js'
+import type { PollOutcome, CommandOutcome, StartOrder, WorkerAddress, WorkerPort, WorkerReport } from './workerPort.js'
 
 /** How long a worker may wait for an end before it answers a look, in milliseconds; a quarter of the longest lease, so that three looks may fail. */
 const LOOK_WAIT_MILLISECONDS = 1500
@@ -97,7 +97,7 @@
     this.poke()
   }
 
-  async start (order: Omit<StartOrder, 'leaseUntil' | 'term'>): Promise<OrderOutcome> {
+  async start (order: Omit<StartOrder, 'leaseUntil' | 'term'>): Promise<CommandOutcome> {
     const leaseUntil = this.nextLeaseEnd()
     if (leaseUntil === undefined) return { kind: 'notSent', reason: 'the clock of the worker is not known' }
     this.poke()
@@ -223,7 +223,7 @@
     this.observer.onEnded()
   }
 
-  private onOrderOutcome (outcome: OrderOutcome): void {
+  private onOrderOutcome (outcome: CommandOutcome): void {
     if (this.isDisposed) return
     if (outcome.kind === 'fenced') this.observer.onFenced()
     if (outcome.kind === 'replaced') this.onEnded()
--- a/test/fakes/fakeCluster.ts
+++ b/test/fakes/fakeCluster.ts
@@ -4,7 +4,7 @@
 import { ClusterMetrics } from '../../src/cluster/clusterMetrics.js'
 import { RecordLog, TOPICS, type AppendOptions, type AppendOutcome, type KeyedRecord, type ReadOutcome, type SnapshotOutcome } from '../../src/cluster/recordLog.js'
 import { cancelKey, SUBMISSION_PARTITIONS } from '../../src/cluster/submissions.js'
-import { WorkerPort, type EndKind, type EndReport, type PollRequest, type PollOutcome, type OrderOutcome, type StartOrder, type WorkerAddress } from '../../src/cluster/workerPort.js'
+import { WorkerPort, type EndKind, type EndReport, type PollRequest, type PollOutcome, type CommandOutcome, type StartOrder, type WorkerAddress } from '../../src/cluster/workerPort.js'
 import type { ClusterConfiguration } from '../../src/contracts/clusterConfiguration.js'
 import { encodeRecord } from '../../src/contracts/clusterRecords.js'
 import { stepJobSchema, type StepJob } from '../../src/contracts/stepJob.js'
@@ -116,12 +116,12 @@
     return this.connectedTo.get(identity) === this.workers.get(identity)?.bornAt
   }
 
-  override async start ({ identity }: WorkerAddress, order: StartOrder): Promise<OrderOutcome> {
-    return await this.call<OrderOutcome>(identity, async worker => await worker.start(order), ORDER_TIMEOUT_MILLISECONDS, { kind: 'unknown', reason: 'timed out' })
+  override async start ({ identity }: WorkerAddress, order: StartOrder): Promise<CommandOutcome> {
+    return await this.call<CommandOutcome>(identity, async worker => await worker.start(order), ORDER_TIMEOUT_MILLISECONDS, { kind: 'unknown', reason: 'timed out' })
   }
 
-  override async stop ({ identity }: WorkerAddress, task: string, run: number, term: number): Promise<OrderOutcome> {
-    return await this.call<OrderOutcome>(identity, async worker => await worker.stop(task, run, term), ORDER_TIMEOUT_MILLISECONDS, { kind: 'unknown', reason: 'timed out' })
+  override async stop ({ identity }: WorkerAddress, task: string, run: number, term: number): Promise<CommandOutcome> {
+    return await this.call<CommandOutcome>(identity, async worker => await worker.stop(task, run, term), ORDER_TIMEOUT_MILLISECONDS, { kind: 'unknown', reason: 'timed out' })
   }
 
   private async call<T> (identity: string, carryOut: (worker: FakeWorker) => Promise<T>, timeoutMilliseconds: number, onTimeout: T): Promise<T> {
--- a/test/fakes/fakeClusterWorkers.ts
+++ b/test/fakes/fakeClusterWorkers.ts
@@ -1,4 +1,4 @@
-import { WorkerPort, type EndKind, type EndReport, type PollRequest, type PollOutcome, type OrderOutcome, type StartOrder, type WorkerAddress, type WorkerEntry } from '../../src/cluster/workerPort.js'
+import { WorkerPort, type EndKind, type EndReport, type PollRequest, type PollOutcome, type CommandOutcome, type StartOrder, type WorkerAddress, type WorkerEntry } from '../../src/cluster/workerPort.js'
 
 /** What a fake worker does with the next orders: answers, carries out without an answer, drops, or refuses as unhealthy or for want of a valid ticket. */
 export type OrderFault = 'none' | 'answerLost' | 'notDelivered' | 'late' | 'unhealthy' | 'ticket'
@@ -101,15 +101,15 @@
     }
   }
 
-  async start (order: StartOrder): Promise<OrderOutcome> {
+  async start (order: StartOrder): Promise<CommandOutcome> {
     return await this.withFault(() => this.carryOutStart(order))
   }
 
-  async stop (task: string, run: number, term: number): Promise<OrderOutcome> {
+  async stop (task: string, run: number, term: number): Promise<CommandOutcome> {
     return await this.withFault(() => this.carryOutStop(task, run, term))
   }
 
-  private async withFault (carryOut: () => OrderOutcome): Promise<OrderOutcome> {
+  private async withFault (carryOut: () => CommandOutcome): Promise<CommandOutcome> {
     if (!this.isReachable || this.fault === 'notDelivered') return await afterMilliseconds(400, { kind: 'unknown', reason: 'timed out' })
     if (this.fault === 'unhealthy' || this.fault === 'ticket') return { kind: 'refused', reason: this.fault }
     if (this.fault === 'late') {
@@ -121,7 +121,7 @@
     return outcome
   }
 
-  private carryOutStart (order: StartOrder): OrderOutcome {
+  private carryOutStart (order: StartOrder): CommandOutcome {
     this.expire()
     if (order.term < this.term) return { kind: 'fenced' }
     this.term = order.term
@@ -143,7 +143,7 @@
     return { kind: 'done' }
   }
 
-  private carryOutStop (task: string, run: number, term: number): OrderOutcome {
+  private carryOutStop (task: string, run: number, term: number): CommandOutcome {
     if (term < this.term) return { kind: 'fenced' }
     this.term = term
     this.stops += 1
@@ -216,11 +216,11 @@
     return await this.of(worker).look(order)
   }
 
-  override async start (worker: WorkerAddress, order: StartOrder): Promise<OrderOutcome> {
+  override async start (worker: WorkerAddress, order: StartOrder): Promise<CommandOutcome> {
     return await this.of(worker).start(order)
   }
 
-  override async stop (worker: WorkerAddress, task: string, run: number, term: number): Promise<OrderOutcome> {
+  override async stop (worker: WorkerAddress, task: string, run: number, term: number): Promise<CommandOutcome> {
     return await this.of(worker).stop(task, run, term)
   }
 
--- a/test/soak/workerStandin.ts
+++ b/test/soak/workerStandin.ts
@@ -1,4 +1,4 @@
-import type { PollOutcome, OrderOutcome } from '../../src/cluster/workerPort.js'
+import type { PollOutcome, CommandOutcome } from '../../src/cluster/workerPort.js'
 import type { FakeWorker } from '../fakes/fakeClusterWorkers.js'
 import { LoopbackStandin, type StandinAnswer, type StandinRequest } from './loopbackStandin.js'
 
@@ -48,7 +48,7 @@
   }
 }
 
-function encodeOrder (outcome: OrderOutcome, clockMs: number): StandinAnswer {
+function encodeOrder (outcome: CommandOutcome, clockMs: number): StandinAnswer {
   switch (outcome.kind) {
     case 'done': return { status: 200, body: { clockMs } }
     case 'fenced': return { status: 409, body: { clockMs, reason: 'fence' } }
