--- a/src/cluster/workerPort.ts
+++ b/src/cluster/workerPort.ts
@@ -66,7 +66,7 @@
   readonly address: string
 }
 
-export interface StartOrder {
+export interface StartCommand {
   readonly task: string
   readonly run: number
   readonly specification: string
@@ -94,7 +94,7 @@
 /** Orders to workers. No method rejects; failures are outcomes. */
 export abstract class WorkerPort {
   abstract poll (worker: WorkerAddress, order: PollRequest, signal?: AbortSignal): Promise<PollOutcome>
-  abstract start (worker: WorkerAddress, order: StartOrder): Promise<CommandOutcome>
+  abstract start (worker: WorkerAddress, order: StartCommand): Promise<CommandOutcome>
   abstract stop (worker: WorkerAddress, task: string, run: number, term: number): Promise<CommandOutcome>
 }
 
--- a/src/cluster/workerSession.ts
+++ b/src/cluster/workerSession.ts
@@ -1,7 +1,7 @@
 import { setMaxListeners } from 'node:events'
 import { delay } from '../base/delay.js'
 import { DisposableObject, toDisposable } from '../base/disposable.js'
-import type { PollOutcome, CommandOutcome, StartOrder, WorkerAddress, WorkerPort, WorkerReport } from './workerPort.js'
+import type { PollOutcome, CommandOutcome, StartCommand, WorkerAddress, WorkerPort, WorkerReport } from './workerPort.js'
 
 /** How long a worker may wait for an end before it answers a look, in milliseconds; a quarter of the longest lease, so that three looks may fail. */
 const LOOK_WAIT_MILLISECONDS = 1500
@@ -97,7 +97,7 @@
     this.poke()
   }
 
-  async start (order: Omit<StartOrder, 'leaseUntil' | 'term'>): Promise<CommandOutcome> {
+  async start (order: Omit<StartCommand, 'leaseUntil' | 'term'>): Promise<CommandOutcome> {
     const leaseUntil = this.nextLeaseEnd()
     if (leaseUntil === undefined) return { kind: 'notSent', reason: 'the clock of the worker is not known' }
     this.poke()
--- a/test/fakes/fakeCluster.ts
+++ b/test/fakes/fakeCluster.ts
@@ -4,7 +4,7 @@
 import { ClusterMetrics } from '../../src/cluster/clusterMetrics.js'
 import { RecordLog, TOPICS, type AppendOptions, type AppendOutcome, type KeyedRecord, type ReadOutcome, type SnapshotOutcome } from '../../src/cluster/recordLog.js'
 import { cancelKey, SUBMISSION_PARTITIONS } from '../../src/cluster/submissions.js'
-import { WorkerPort, type EndKind, type EndReport, type PollRequest, type PollOutcome, type CommandOutcome, type StartOrder, type WorkerAddress } from '../../src/cluster/workerPort.js'
+import { WorkerPort, type EndKind, type EndReport, type PollRequest, type PollOutcome, type CommandOutcome, type StartCommand, type WorkerAddress } from '../../src/cluster/workerPort.js'
 import type { ClusterConfiguration } from '../../src/contracts/clusterConfiguration.js'
 import { encodeRecord } from '../../src/contracts/clusterRecords.js'
 import { stepJobSchema, type StepJob } from '../../src/contracts/stepJob.js'
@@ -116,7 +116,7 @@
     return this.connectedTo.get(identity) === this.workers.get(identity)?.bornAt
   }
 
-  override async start ({ identity }: WorkerAddress, order: StartOrder): Promise<CommandOutcome> {
+  override async start ({ identity }: WorkerAddress, order: StartCommand): Promise<CommandOutcome> {
     return await this.call<CommandOutcome>(identity, async worker => await worker.start(order), ORDER_TIMEOUT_MILLISECONDS, { kind: 'unknown', reason: 'timed out' })
   }
 
--- a/test/fakes/fakeClusterWorkers.ts
+++ b/test/fakes/fakeClusterWorkers.ts
@@ -1,4 +1,4 @@
-import { WorkerPort, type EndKind, type EndReport, type PollRequest, type PollOutcome, type CommandOutcome, type StartOrder, type WorkerAddress, type WorkerEntry } from '../../src/cluster/workerPort.js'
+import { WorkerPort, type EndKind, type EndReport, type PollRequest, type PollOutcome, type CommandOutcome, type StartCommand, type WorkerAddress, type WorkerEntry } from '../../src/cluster/workerPort.js'
 
 /** What a fake worker does with the next orders: answers, carries out without an answer, drops, or refuses as unhealthy or for want of a valid ticket. */
 export type OrderFault = 'none' | 'answerLost' | 'notDelivered' | 'late' | 'unhealthy' | 'ticket'
@@ -101,7 +101,7 @@
     }
   }
 
-  async start (order: StartOrder): Promise<CommandOutcome> {
+  async start (order: StartCommand): Promise<CommandOutcome> {
     return await this.withFault(() => this.carryOutStart(order))
   }
 
@@ -121,7 +121,7 @@
     return outcome
   }
 
-  private carryOutStart (order: StartOrder): CommandOutcome {
+  private carryOutStart (order: StartCommand): CommandOutcome {
     this.expire()
     if (order.term < this.term) return { kind: 'fenced' }
     this.term = order.term
@@ -216,7 +216,7 @@
     return await this.of(worker).look(order)
   }
 
-  override async start (worker: WorkerAddress, order: StartOrder): Promise<CommandOutcome> {
+  override async start (worker: WorkerAddress, order: StartCommand): Promise<CommandOutcome> {
     return await this.of(worker).start(order)
   }
 
