--- a/src/cluster/instanceLinks.ts
+++ b/src/cluster/instanceLinks.ts
@@ -80,7 +80,7 @@
 
   /** Lines to the eligibility service: this instance's own and those of all linked instances. */
   eligibilityLines (): EligibilityLine[] {
-    const own: EligibilityLine = { instance: this.identity.instance, ask: async (step, workers, timeout) => await this.eligibility.ask(step, workers, timeout) }
+    const own: EligibilityLine = { instance: this.identity.instance, ask: async (step, workers, timeout) => await this.eligibility.query(step, workers, timeout) }
     const others = [...this.peers].map(({ instance, link }): EligibilityLine => ({ instance, ask: async (step, workers, timeout) => await askOverLink(link, step, workers, timeout) }))
     return [own, ...others]
   }
@@ -142,7 +142,7 @@
         link.send({ type: 'waitingReply', id: message.id, waiting: this.observer.waitingOf(message.queue) ?? -1 })
         return
       case 'eligibilityQuestion': {
-        const outcome = await this.eligibility.ask(message.step, message.workers, message.timeoutMilliseconds)
+        const outcome = await this.eligibility.query(message.step, message.workers, message.timeoutMilliseconds)
         link.send({
           type: 'eligibilityReply',
           id: message.id,
--- a/src/cluster/workerPort.ts
+++ b/src/cluster/workerPort.ts
@@ -111,5 +111,5 @@
 /** The service that decides which workers may run a step. */
 export abstract class EligibilityPort {
   /** `workers`: at most 100 identities. */
-  abstract ask (step: string, workers: readonly string[], timeoutMilliseconds: number): Promise<EligibilityOutcome>
+  abstract query (step: string, workers: readonly string[], timeoutMilliseconds: number): Promise<EligibilityOutcome>
 }
--- a/test/cluster/clusterInstance.test.ts
+++ b/test/cluster/clusterInstance.test.ts
@@ -35,7 +35,7 @@
 class AllEligible extends EligibilityPort {
   asked = 0
 
-  override async ask (_step: string, workers: readonly string[]): Promise<EligibilityOutcome> {
+  override async query (_step: string, workers: readonly string[]): Promise<EligibilityOutcome> {
     this.asked += 1
     return { kind: 'eligible', workers: workers.map(worker => ({ worker, ticket: 'ticket' })), validMilliseconds: 2000 }
   }
--- a/test/cluster/instanceLinks.test.ts
+++ b/test/cluster/instanceLinks.test.ts
@@ -10,7 +10,7 @@
 const ANSWER_MILLISECONDS = 10_000
 
 class NobodyEligible extends EligibilityPort {
-  override async ask (): Promise<EligibilityOutcome> {
+  override async query (): Promise<EligibilityOutcome> {
     return { kind: 'eligible', workers: [], validMilliseconds: 1 }
   }
 }
--- a/test/platform/adapter.test.ts
+++ b/test/platform/adapter.test.ts
@@ -265,7 +265,7 @@
 
   it('decodes the workers that the eligibility service names', async () => {
     answer = json(200, { good: [['i-1', 'ticket']], validMs: 2500 })
-    assert.deepEqual(await new PlatformEligibilityClient(address, http).ask('a.0.0', ['i-1', 'i-2'], 1000), { kind: 'eligible', workers: [{ worker: 'i-1', ticket: 'ticket' }], validMilliseconds: 2500 })
+    assert.deepEqual(await new PlatformEligibilityClient(address, http).query('a.0.0', ['i-1', 'i-2'], 1000), { kind: 'eligible', workers: [{ worker: 'i-1', ticket: 'ticket' }], validMilliseconds: 2500 })
   })
 })
 
