--- a/src/cluster/workerSession.ts
+++ b/src/cluster/workerSession.ts
@@ -12,7 +12,7 @@
 /** Pause after a failed look or stop, in milliseconds. */
 const RETRY_PAUSE_MILLISECONDS = 200
 /** Part by which a worker's clock may be slow. */
-export const CLOCK_DRIFT = 0.02
+export const MAXIMUM_CLOCK_DRIFT = 0.02
 /** Added to the latest end of a lease before it counts as certain, in milliseconds. */
 const LAPSE_MARGIN_MILLISECONDS = 150
 
@@ -209,7 +209,7 @@
 
   private updateLapse (): void {
     if (this.clock === undefined) return
-    this.leasesEndAt = this.clock.local + (this.latestLease - this.clock.worker) / (1 - CLOCK_DRIFT) + LAPSE_MARGIN_MILLISECONDS
+    this.leasesEndAt = this.clock.local + (this.latestLease - this.clock.worker) / (1 - MAXIMUM_CLOCK_DRIFT) + LAPSE_MARGIN_MILLISECONDS
   }
 
   private checkLapse (): void {
--- a/src/cluster/workerSessions.ts
+++ b/src/cluster/workerSessions.ts
@@ -3,7 +3,7 @@
 import type { ClusterMetrics } from './clusterMetrics.js'
 import type { ClusterScheduler } from './clusterScheduler.js'
 import type { WorkerPort, WorkerReport } from './workerPort.js'
-import { CLOCK_DRIFT, WorkerSession } from './workerSession.js'
+import { MAXIMUM_CLOCK_DRIFT, WorkerSession } from './workerSession.js'
 import type { WorkerState } from './workerState.js'
 
 /** Without contact to the log for this long, leases of workers are no longer renewed, in milliseconds; longer than the outages the log is known for. */
@@ -62,7 +62,7 @@
         acknowledgedEnd: () => this.scheduler.workers.get(identity)?.endToAcknowledge ?? 0,
         needsLooks: () => this.needsLooks(identity)
       },
-      { term, leaseMilliseconds, formerLeasesEndAt: this.startedAt + RENEWAL_WITHOUT_LOG_MILLISECONDS + leaseMilliseconds / (1 - CLOCK_DRIFT) },
+      { term, leaseMilliseconds, formerLeasesEndAt: this.startedAt + RENEWAL_WITHOUT_LOG_MILLISECONDS + leaseMilliseconds / (1 - MAXIMUM_CLOCK_DRIFT) },
       () => this.now() - renewedAt() < RENEWAL_WITHOUT_LOG_MILLISECONDS,
       this.now
     )
