--- a/src/cluster/actingScheduler.ts
+++ b/src/cluster/actingScheduler.ts
@@ -416,7 +416,7 @@
 
   /** Finds out whether an unanswered start was carried out; if it was not, keeps it from being carried out later. */
   private async settle (session: WorkerSession, task: Task, run: number): Promise<void> {
-    await session.lookNow()
+    await session.pollOnce()
     if (task.phase === 'uncertain' && task.run === run) await session.stop(task.name, run)
   }
 }
--- a/src/cluster/workerSession.ts
+++ b/src/cluster/workerSession.ts
@@ -115,7 +115,7 @@
       // An unhealthy worker has done nothing: a start that it was sent before may still come.
       if (outcome.kind === 'done' || (outcome.kind === 'refused' && outcome.reason === 'old')) {
         this.observer.onStopConfirmed(task, run)
-        await this.lookNow()
+        await this.pollOnce()
         return
       }
       await delay(RETRY_PAUSE_MILLISECONDS, this.abort.signal)
@@ -123,7 +123,7 @@
   }
 
   /** Looks once, without waiting for an end or for a look that waits. */
-  async lookNow (): Promise<boolean> {
+  async pollOnce (): Promise<boolean> {
     return await this.look(0, false)
   }
 
