--- a/src/cluster/workerSession.ts
+++ b/src/cluster/workerSession.ts
@@ -87,20 +87,20 @@
   }
 
   /** Something has been placed here or waits for an acknowledgement. */
-  poke (): void {
+  wake (): void {
     this.wake?.()
   }
 
   /** The ends that were reported are in the log. */
   onRecorded (): void {
     this.wakeOnRecord?.()
-    this.poke()
+    this.wake()
   }
 
   async start (order: Omit<StartCommand, 'leaseUntil' | 'term'>): Promise<CommandOutcome> {
     const leaseUntil = this.nextLeaseEnd()
     if (leaseUntil === undefined) return { kind: 'notSent', reason: 'the clock of the worker is not known' }
-    this.poke()
+    this.wake()
     const outcome = await this.port.start(this.worker, { ...order, leaseUntil, term: this.options.term })
     this.onOrderOutcome(outcome)
     return outcome
