--- a/src/cluster/actingScheduler.ts
+++ b/src/cluster/actingScheduler.ts
@@ -379,7 +379,7 @@
       // A new process of the worker counts its ends anew.
       if (bornAt !== worker.bornAt) continue
       worker.recordedEnd = number
-      this.sessions.get(worker.identity)?.onRecorded()
+      this.sessions.get(worker.identity)?.onEndsRecorded()
     }
   }
 
--- a/src/cluster/workerSession.ts
+++ b/src/cluster/workerSession.ts
@@ -92,7 +92,7 @@
   }
 
   /** The ends that were reported are in the log. */
-  onRecorded (): void {
+  onEndsRecorded (): void {
     this.wakeOnRecord?.()
     this.wake()
   }
