--- a/src/cluster/workerSession.ts
+++ b/src/cluster/workerSession.ts
@@ -194,7 +194,7 @@
     // Leases that former schedulers gave, or that were given by the clock of a former process, end at the latest a full lease from now.
     if (isNewProcess) this.latestLease = report.clockMilliseconds + this.options.leaseMilliseconds
     this.bornAt = report.bornAt
-    this.updateLapse()
+    this.updateLeaseExpiry()
     this.observer.onReport(report, sentAt, acknowledgedEnd)
   }
 
@@ -203,11 +203,11 @@
     if (this.clock === undefined) return undefined
     const end = this.clock.worker + (this.now() - this.clock.local) + this.options.leaseMilliseconds
     this.latestLease = Math.max(this.latestLease, end)
-    this.updateLapse()
+    this.updateLeaseExpiry()
     return end
   }
 
-  private updateLapse (): void {
+  private updateLeaseExpiry (): void {
     if (this.clock === undefined) return
     this.leasesEndAt = this.clock.local + (this.latestLease - this.clock.worker) / (1 - MAXIMUM_CLOCK_DRIFT) + LAPSE_MARGIN_MILLISECONDS
   }
