--- a/test/fuzz/clusterFaults.ts
+++ b/test/fuzz/clusterFaults.ts
@@ -52,7 +52,7 @@
     checks: ['RunsOnce'],
     seed: 1,
     runs: 238,
-    plant: replace(WorkerSession, 'updateLapse', (_original, self) => {
+    plant: replace(WorkerSession, 'updateLeaseExpiry', (_original, self) => {
       const session = self as unknown as LooseSession
       session.leasesEndAt = session.now() + 2000
     })
