--- a/src/cluster/workerSession.ts
+++ b/src/cluster/workerSession.ts
@@ -20,7 +20,7 @@
 export interface WorkerSessionObserver {
   /** `acknowledgedEnd` is the end up to which the look allowed the worker to forget. */
   onReport (report: WorkerReport, sentAt: number, acknowledgedEnd: number): void
-  onSilent (reason: string): void
+  onPollFailed (reason: string): void
   /** Nothing can run on the worker any more. */
   onEnded (): void
   /** The worker obeys a greater term. */
@@ -181,7 +181,7 @@
         this.onEnded()
         return
       case 'failed':
-        this.observer.onSilent(outcome.reason)
+        this.observer.onPollFailed(outcome.reason)
     }
   }
 
--- a/src/cluster/workerSessions.ts
+++ b/src/cluster/workerSessions.ts
@@ -54,7 +54,7 @@
       this.workers,
       {
         onReport: (report, sentAt, acknowledgedEnd) => this.onReport(identity, report, sentAt, acknowledgedEnd),
-        onSilent: reason => this.onSilent(identity, reason),
+        onPollFailed: reason => this.onSilent(identity, reason),
         onEnded: () => this.onEnded(identity),
         onFenced: () => this.onFenced(identity),
         onStopConfirmed: (task, run) => this.scheduler.onStopConfirmed(identity, task, run, this.now()),
