--- a/src/cluster/workerSession.ts
+++ b/src/cluster/workerSession.ts
@@ -22,7 +22,7 @@
   onReport (report: WorkerReport, sentAt: number, acknowledgedEnd: number): void
   onPollFailed (reason: string): void
   /** Nothing can run on the worker any more. */
-  onEnded (): void
+  onWorkerEnded (): void
   /** The worker obeys a greater term. */
   onFenced (): void
   /** A stop was confirmed; a look sent from now on shows whether the run is gone. */
@@ -220,7 +220,7 @@
   private onEnded (): void {
     if (this.hasEnded) return
     this.hasEnded = true
-    this.observer.onEnded()
+    this.observer.onWorkerEnded()
   }
 
   private onOrderOutcome (outcome: CommandOutcome): void {
--- a/src/cluster/workerSessions.ts
+++ b/src/cluster/workerSessions.ts
@@ -55,7 +55,7 @@
       {
         onReport: (report, sentAt, acknowledgedEnd) => this.onReport(identity, report, sentAt, acknowledgedEnd),
         onPollFailed: reason => this.onSilent(identity, reason),
-        onEnded: () => this.onEnded(identity),
+        onWorkerEnded: () => this.onEnded(identity),
         onFenced: () => this.onFenced(identity),
         onStopConfirmed: (task, run) => this.scheduler.onStopConfirmed(identity, task, run, this.now()),
         awaitsRecord: () => this.awaitsRecord(identity),
