--- a/src/cluster/workerSession.ts
+++ b/src/cluster/workerSession.ts
@@ -28,7 +28,7 @@
   /** A stop was confirmed; a look sent from now on shows whether the run is gone. */
   onStopConfirmed (task: string, run: number): void
   /** Ends were reported that the log does not hold yet: a look would be answered at once with the same ends. */
-  awaitsRecord (): boolean
+  hasUnrecordedEnds (): boolean
   /** Up to which end the worker may forget. */
   acknowledgedEnd (): number
   /** Whether the worker must be looked at: something may run there, or ends wait for an acknowledgement. */
@@ -139,7 +139,7 @@
       if (!succeeded) this.checkLapse()
       const pause = succeeded ? LOOK_PERIOD_MILLISECONDS - (this.now() - sentAt) : RETRY_PAUSE_MILLISECONDS
       if (pause > 0) await delay(pause, this.abort.signal)
-      if (succeeded && this.observer.awaitsRecord()) await this.untilRecorded()
+      if (succeeded && this.observer.hasUnrecordedEnds()) await this.untilRecorded()
     }
   }
 
--- a/src/cluster/workerSessions.ts
+++ b/src/cluster/workerSessions.ts
@@ -58,7 +58,7 @@
         onWorkerEnded: () => this.onEnded(identity),
         onFenced: () => this.onFenced(identity),
         onStopConfirmed: (task, run) => this.scheduler.onStopConfirmed(identity, task, run, this.now()),
-        awaitsRecord: () => this.awaitsRecord(identity),
+        hasUnrecordedEnds: () => this.awaitsRecord(identity),
         acknowledgedEnd: () => this.scheduler.workers.get(identity)?.endToAcknowledge ?? 0,
         needsLooks: () => this.needsLooks(identity)
       },
