--- a/src/cluster/workerSession.ts
+++ b/src/cluster/workerSession.ts
@@ -19,7 +19,7 @@
 /** What a session learns about its worker. */
 export interface WorkerSessionObserver {
   /** `acknowledgedEnd` is the end up to which the look allowed the worker to forget. */
-  onReport (report: WorkerReport, sentAt: number, acknowledgedEnd: number): void
+  onReport (report: WorkerReport, sentAt: number, getEndToAcknowledge: number): void
   onPollFailed (reason: string): void
   /** Nothing can run on the worker any more. */
   onWorkerEnded (): void
@@ -30,7 +30,7 @@
   /** Ends were reported that the log does not hold yet: a look would be answered at once with the same ends. */
   hasUnrecordedEnds (): boolean
   /** Up to which end the worker may forget. */
-  acknowledgedEnd (): number
+  getEndToAcknowledge (): number
   /** Whether the worker must be looked at: something may run there, or ends wait for an acknowledgement. */
   needsLooks (): boolean
 }
@@ -160,7 +160,7 @@
     const sentAt = this.now()
     const leaseUntil = this.mayRenew() && !this.isSilent ? this.nextLeaseEnd() : undefined
     // After a failed look another process may answer, which counts its ends anew.
-    const acknowledgedEnd = isInSequence && !this.isSilent ? this.observer.acknowledgedEnd() : 0
+    const acknowledgedEnd = isInSequence && !this.isSilent ? this.observer.getEndToAcknowledge() : 0
     const order = { term: this.options.term, acknowledgedEnd, isInSequence, leaseUntil, waitMilliseconds }
     const outcome = await this.port.poll(this.worker, order, this.abort.signal)
     if (this.isDisposed) return false
--- a/src/cluster/workerSessions.ts
+++ b/src/cluster/workerSessions.ts
@@ -59,7 +59,7 @@
         onFenced: () => this.onFenced(identity),
         onStopConfirmed: (task, run) => this.scheduler.onStopConfirmed(identity, task, run, this.now()),
         hasUnrecordedEnds: () => this.awaitsRecord(identity),
-        acknowledgedEnd: () => this.scheduler.workers.get(identity)?.endToAcknowledge ?? 0,
+        getEndToAcknowledge: () => this.scheduler.workers.get(identity)?.endToAcknowledge ?? 0,
         needsLooks: () => this.needsLooks(identity)
       },
       { term, leaseMilliseconds, formerLeasesEndAt: this.startedAt + RENEWAL_WITHOUT_LOG_MILLISECONDS + leaseMilliseconds / (1 - MAXIMUM_CLOCK_DRIFT) },
