--- a/src/cluster/workerSession.ts
+++ b/src/cluster/workerSession.ts
@@ -32,7 +32,7 @@
   /** Up to which end the worker may forget. */
   getEndToAcknowledge (): number
   /** Whether the worker must be looked at: something may run there, or ends wait for an acknowledgement. */
-  needsLooks (): boolean
+  needsPolling (): boolean
 }
 
 export interface WorkerSessionOptions {
@@ -130,7 +130,7 @@
   private async lookWhileNeeded (): Promise<void> {
     let isFirst = true
     while (!this.isDisposed) {
-      if (!isFirst && !this.observer.needsLooks()) await this.untilPoked()
+      if (!isFirst && !this.observer.needsPolling()) await this.untilPoked()
       if (this.isDisposed) return
       const sentAt = this.now()
       const succeeded = await this.look(isFirst ? 0 : LOOK_WAIT_MILLISECONDS, true)
--- a/src/cluster/workerSessions.ts
+++ b/src/cluster/workerSessions.ts
@@ -60,7 +60,7 @@
         onStopConfirmed: (task, run) => this.scheduler.onStopConfirmed(identity, task, run, this.now()),
         hasUnrecordedEnds: () => this.awaitsRecord(identity),
         getEndToAcknowledge: () => this.scheduler.workers.get(identity)?.endToAcknowledge ?? 0,
-        needsLooks: () => this.needsLooks(identity)
+        needsPolling: () => this.needsLooks(identity)
       },
       { term, leaseMilliseconds, formerLeasesEndAt: this.startedAt + RENEWAL_WITHOUT_LOG_MILLISECONDS + leaseMilliseconds / (1 - MAXIMUM_CLOCK_DRIFT) },
       () => this.now() - renewedAt() < RENEWAL_WITHOUT_LOG_MILLISECONDS,
