--- a/src/cluster/actingScheduler.ts
+++ b/src/cluster/actingScheduler.ts
@@ -100,7 +100,7 @@
       leaseMilliseconds: options.bounds.workerLeaseMilliseconds,
       renewedAt: options.renewedAt,
       onDidChange: () => this.trigger(),
-      onDeposed: options.onDeposed
+      onSuperseded: options.onDeposed
     }, metrics, logger, now))
     this.retention = this.register(new JobRetention(log, logger))
     this.desk = new EligibilityDesk(this.scheduler, options.lines, answer => this.onEligibilityAnswer(answer), now)
--- a/src/cluster/workerSessions.ts
+++ b/src/cluster/workerSessions.ts
@@ -17,7 +17,7 @@
   /** Something has changed that may let tasks be placed. */
   readonly onDidChange: () => void
   /** A worker obeys a later term. */
-  readonly onDeposed: () => void
+  readonly onSuperseded: () => void
 }
 
 /** The sessions of the acting scheduler with all workers: carries what they report to the decisions. */
@@ -118,6 +118,6 @@
   private onFenced (identity: string): void {
     if (this.isDisposed) return
     this.logger.warn('a worker obeys a later term', { worker: identity, term: this.options.term })
-    this.options.onDeposed()
+    this.options.onSuperseded()
   }
 }
