--- a/src/cluster/workerSessions.ts
+++ b/src/cluster/workerSessions.ts
@@ -7,7 +7,7 @@
 import type { WorkerState } from './workerState.js'
 
 /** Without contact to the log for this long, leases of workers are no longer renewed, in milliseconds; longer than the outages the log is known for. */
-export const RENEWAL_WITHOUT_LOG_MILLISECONDS = 10_000
+export const LEASE_RENEWAL_WITHOUT_LOG_MILLISECONDS = 10_000
 
 export interface WorkerSessionsOptions {
   readonly term: number
@@ -62,8 +62,8 @@
         getEndToAcknowledge: () => this.scheduler.workers.get(identity)?.endToAcknowledge ?? 0,
         needsPolling: () => this.needsLooks(identity)
       },
-      { term, leaseMilliseconds, formerLeasesEndAt: this.startedAt + RENEWAL_WITHOUT_LOG_MILLISECONDS + leaseMilliseconds / (1 - MAXIMUM_CLOCK_DRIFT) },
-      () => this.now() - renewedAt() < RENEWAL_WITHOUT_LOG_MILLISECONDS,
+      { term, leaseMilliseconds, formerLeasesEndAt: this.startedAt + LEASE_RENEWAL_WITHOUT_LOG_MILLISECONDS + leaseMilliseconds / (1 - MAXIMUM_CLOCK_DRIFT) },
+      () => this.now() - renewedAt() < LEASE_RENEWAL_WITHOUT_LOG_MILLISECONDS,
       this.now
     )
     this.sessions.set(identity, session)
