--- a/src/cluster/clusterInstance.ts
+++ b/src/cluster/clusterInstance.ts
@@ -246,7 +246,7 @@
     const position = this.leadershipFollower.position
     if (position === undefined) return
     this.isClaiming = true
-    const term = this.leadership.termOfClaim(position)
+    const term = this.leadership.termForClaim(position)
     const sentAt = this.now()
     const record = { term, instance: this.settings.instance, incarnation: this.incarnation, address: this.linkAddress, resigned: false }
     const outcome = await this.append(record, position)
--- a/src/cluster/leadership.ts
+++ b/src/cluster/leadership.ts
@@ -46,7 +46,7 @@
    * Term of a claim that is stored at an offset of the log. No two claims are stored at the same offset, so that the term is greater
    * than that of any claim before, also of one that a late renewal of a former holder has replaced as the latest record.
    */
-  termOfClaim (offset: number): number {
+  termForClaim (offset: number): number {
     return Math.max(this.latest?.term ?? 0, offset) + 1
   }
 
--- a/test/cluster/leadership.test.ts
+++ b/test/cluster/leadership.test.ts
@@ -41,7 +41,7 @@
     assert.ok(leadership.isHeldHere)
     leadership.onDeposed()
     assert.equal(leadership.isHeldHere, false)
-    assert.equal(leadership.termOfClaim(2), 6)
+    assert.equal(leadership.termForClaim(2), 6)
   })
 
   /** A reader that starts late sees only the latest record, which may be a renewal of a former term. */
@@ -49,8 +49,8 @@
     const leadership = new Leadership('instance', 'own', RANK, 0)
     leadership.onRecord(HELD, 0)
     const offsetOfHiddenClaim = 40
-    assert.ok(leadership.termOfClaim(offsetOfHiddenClaim + 2) > leadership.termOfClaim(offsetOfHiddenClaim))
-    assert.ok(leadership.termOfClaim(0) > HELD.term)
+    assert.ok(leadership.termForClaim(offsetOfHiddenClaim + 2) > leadership.termForClaim(offsetOfHiddenClaim))
+    assert.ok(leadership.termForClaim(0) > HELD.term)
   })
 
   it('does not claim from a holder whose address refuses connections but which goes on renewing', () => {
