--- a/src/cluster/clusterInstance.ts
+++ b/src/cluster/clusterInstance.ts
@@ -336,7 +336,7 @@
 
   private onDeposed (acting: ActingScheduler): void {
     if (this.acting !== acting) return
-    this.leadership.onDeposed()
+    this.leadership.onSuperseded()
     this.stopActing('a later term is in force')
   }
 
--- a/src/cluster/leadership.ts
+++ b/src/cluster/leadership.ts
@@ -63,7 +63,7 @@
   }
 
   /** Notes that a greater term than the one held here is in force, although its record has not been read yet. */
-  onDeposed (): void {
+  onSuperseded (): void {
     this.deposedTerm = this.latest?.term ?? 0
   }
 
--- a/test/cluster/leadership.test.ts
+++ b/test/cluster/leadership.test.ts
@@ -39,7 +39,7 @@
     leadership.onRecord({ ...HELD, incarnation: 'own', term: 5 }, 0)
     assert.equal(leadership.onRecord(HELD, 1), false)
     assert.ok(leadership.isHeldHere)
-    leadership.onDeposed()
+    leadership.onSuperseded()
     assert.equal(leadership.isHeldHere, false)
     assert.equal(leadership.termForClaim(2), 6)
   })
