--- a/src/cluster/clusterInstance.ts
+++ b/src/cluster/clusterInstance.ts
@@ -309,7 +309,7 @@
 
   private onRoleOffer (incarnation: string): void {
     this.logger.info('asked to claim the scheduler role', { term: this.leadership.current?.term })
-    this.leadership.onOffered(incarnation)
+    this.leadership.onRoleOffered(incarnation)
   }
 
   private async append (record: LeadershipRecord, atOffset: number | undefined): Promise<string> {
--- a/src/cluster/leadership.ts
+++ b/src/cluster/leadership.ts
@@ -68,7 +68,7 @@
   }
 
   /** Notes that the holder has asked this instance to claim the role. */
-  onOffered (incarnation: string): void {
+  onRoleOffered (incarnation: string): void {
     if (this.latest?.incarnation === incarnation) this.isOffered = true
   }
 
--- a/test/cluster/leadership.test.ts
+++ b/test/cluster/leadership.test.ts
@@ -65,9 +65,9 @@
   it('claims a role that it was asked to claim', () => {
     const leadership = new Leadership('instance', 'own', RANK, 0)
     leadership.onRecord(HELD, 0)
-    leadership.onOffered('another incarnation')
+    leadership.onRoleOffered('another incarnation')
     assert.equal(leadership.shouldClaim(10, 5, 0), false)
-    leadership.onOffered(HELD.incarnation)
+    leadership.onRoleOffered(HELD.incarnation)
     assert.equal(leadership.shouldClaim(10, 5, 0), true)
     assert.equal(leadership.shouldClaim(5000, -1, 0), false)
     leadership.onRecord(HELD, 20)
