--- a/src/cluster/clusterInstance.ts
+++ b/src/cluster/clusterInstance.ts
@@ -183,7 +183,7 @@
 
   /** The waits before the first claim count from the configuration on, which reaches all instances at once: the largest claims first. */
   private awaitFirstClaim (now: number): void {
-    if (this.hasNoHolder) this.leadership.onEmpty(now)
+    if (this.hasNoHolder) this.leadership.onNoRecord(now)
   }
 
   private onRegistry (records: readonly StoredRecord[], isSnapshot: boolean): void {
--- a/src/cluster/leadership.ts
+++ b/src/cluster/leadership.ts
@@ -78,7 +78,7 @@
   }
 
   /** Notes that the log holds no record of the role. */
-  onEmpty (now: number): void {
+  onNoRecord (now: number): void {
     this.seenAt ??= now
   }
 
--- a/test/cluster/leadership.test.ts
+++ b/test/cluster/leadership.test.ts
@@ -27,7 +27,7 @@
   for (const { name, record, endedAt, now, asOf, latency, claims } of CASES) {
     it(`${claims ? 'claims' : 'does not claim'}: ${name}`, () => {
       const leadership = new Leadership('instance', 'own', RANK, 0)
-      if (record === undefined) leadership.onEmpty(0)
+      if (record === undefined) leadership.onNoRecord(0)
       else leadership.onRecord(record, 0)
       if (endedAt !== undefined) leadership.onHolderEnded(HELD.incarnation, endedAt)
       assert.equal(leadership.shouldClaim(now, asOf, latency ?? 0), claims)
