--- a/src/cluster/clusterInstance.ts
+++ b/src/cluster/clusterInstance.ts
@@ -96,7 +96,7 @@
       stateOf: job => this.acting?.stateOf(job),
       waitingOf: queue => this.acting?.waitingOf(queue),
       onRoleOffer: incarnation => this.onRoleOffer(incarnation),
-      onHolderEnded: incarnation => this.leadership.onHolderEnded(incarnation, this.now())
+      onHolderEnded: incarnation => this.leadership.onHolderExited(incarnation, this.now())
     }, logger, random, now))
     this.leadershipFollower = this.follower(TOPICS.leadership, () => 0, (records, isSnapshot) => this.onLeadership(records, isSnapshot))
     this.configurationFollower = this.follower(feeds.configurationTopic, () => 0, records => this.onConfiguration(records))
@@ -219,7 +219,7 @@
       const record = decodeRecord<LeadershipRecord>(value)
       if (!this.leadership.onRecord(record, now)) continue
       // A record of this instance's former process: that process has ended.
-      if (record.instance === this.settings.instance && record.incarnation !== this.incarnation) this.leadership.onHolderEnded(record.incarnation, now)
+      if (record.instance === this.settings.instance && record.incarnation !== this.incarnation) this.leadership.onHolderExited(record.incarnation, now)
       this.logger.info(record.resigned ? 'the scheduler role is free' : 'the scheduler role is held', { peer: record.instance, term: record.term, address: record.address, offset })
     }
     this.followRole()
--- a/src/cluster/leadership.ts
+++ b/src/cluster/leadership.ts
@@ -83,7 +83,7 @@
   }
 
   /** Notes that the holder seems to have ended: its address refuses connections, or another process answers there. */
-  onHolderEnded (incarnation: string, now: number): void {
+  onHolderExited (incarnation: string, now: number): void {
     if (this.latest?.incarnation === incarnation) this.holderEndedAt ??= now
   }
 
--- a/test/cluster/leadership.test.ts
+++ b/test/cluster/leadership.test.ts
@@ -29,7 +29,7 @@
       const leadership = new Leadership('instance', 'own', RANK, 0)
       if (record === undefined) leadership.onNoRecord(0)
       else leadership.onRecord(record, 0)
-      if (endedAt !== undefined) leadership.onHolderEnded(HELD.incarnation, endedAt)
+      if (endedAt !== undefined) leadership.onHolderExited(HELD.incarnation, endedAt)
       assert.equal(leadership.shouldClaim(now, asOf, latency ?? 0), claims)
     })
   }
@@ -56,7 +56,7 @@
   it('does not claim from a holder whose address refuses connections but which goes on renewing', () => {
     const leadership = new Leadership('instance', 'own', RANK, 0)
     leadership.onRecord(HELD, 0)
-    leadership.onHolderEnded(HELD.incarnation, 100)
+    leadership.onHolderExited(HELD.incarnation, 100)
     leadership.onRecord(HELD, 150)
     assert.equal(leadership.shouldClaim(400, 300, 0), false)
   })
@@ -85,7 +85,7 @@
   it('forgets that a former holder has ended once another holds the role', () => {
     const leadership = new Leadership('instance', 'own', RANK, 0)
     leadership.onRecord(HELD, 0)
-    leadership.onHolderEnded(HELD.incarnation, 10)
+    leadership.onHolderExited(HELD.incarnation, 10)
     leadership.onRecord({ ...HELD, term: 4, incarnation: 'y' }, 20)
     assert.equal(leadership.shouldClaim(500, 400, 0), false)
   })
