--- a/src/cluster/clusterInstance.ts
+++ b/src/cluster/clusterInstance.ts
@@ -96,7 +96,7 @@
       stateOf: job => this.acting?.stateOf(job),
       waitingOf: queue => this.acting?.waitingOf(queue),
       onRoleOffer: incarnation => this.onRoleOffer(incarnation),
-      onHolderEnded: incarnation => this.leadership.onHolderExited(incarnation, this.now())
+      onHolderExited: incarnation => this.leadership.onHolderExited(incarnation, this.now())
     }, logger, random, now))
     this.leadershipFollower = this.follower(TOPICS.leadership, () => 0, (records, isSnapshot) => this.onLeadership(records, isSnapshot))
     this.configurationFollower = this.follower(feeds.configurationTopic, () => 0, records => this.onConfiguration(records))
--- a/src/cluster/instanceLinks.ts
+++ b/src/cluster/instanceLinks.ts
@@ -31,7 +31,7 @@
   /** The holder of the role has asked this instance to claim it. */
   onRoleOffer (incarnation: string): void
   /** The process that held the role has ended: its address refuses connections, or another process answers there. */
-  onHolderEnded (incarnation: string): void
+  onHolderExited (incarnation: string): void
 }
 
 /** Links between the instances: each keeps one to the holder of the role of scheduler. */
@@ -92,7 +92,7 @@
     const link = await openClusterLink(holder.address, this.logger, this.now)
     this.isConnecting = false
     if (!(link instanceof ClusterLink)) {
-      if (link === 'refused') this.observer.onHolderEnded(holder.incarnation)
+      if (link === 'refused') this.observer.onHolderExited(holder.incarnation)
       await delay(LINK_RETRY_MILLISECONDS)
       this.connectToHolder()
       return
@@ -107,7 +107,7 @@
     link.onDidReceive(message => {
       if (message.type === 'roleOffer') this.observer.onRoleOffer(message.incarnation)
       else if (message.type !== 'hello') this.onQuestion(link, message)
-      else if (message.incarnation !== holder.incarnation) this.observer.onHolderEnded(holder.incarnation)
+      else if (message.incarnation !== holder.incarnation) this.observer.onHolderExited(holder.incarnation)
     })
     link.onDidClose(() => {
       if (this.holderLink?.link === link) this.holderLink = undefined
--- a/test/cluster/instanceLinks.test.ts
+++ b/test/cluster/instanceLinks.test.ts
@@ -20,7 +20,7 @@
     stateOf: job => `${job} at ${instance}`,
     waitingOf: () => 3,
     onRoleOffer: () => {},
-    onHolderEnded: incarnation => ended.push(incarnation)
+    onHolderExited: incarnation => ended.push(incarnation)
   }, new Logger(instance, 'error', () => {}), new Random(1), () => performance.now())
 }
 
