--- a/src/cluster/clusterInstance.ts
+++ b/src/cluster/clusterInstance.ts
@@ -93,7 +93,7 @@
     this.leadership = new Leadership(settings.instance, this.incarnation, Math.round(RANK_OF_ONE_CORE / this.capacity), random.fraction())
     this.jobService = this.register(new JobService(log, this, logger, random, now))
     this.links = this.register(new InstanceLinks({ instance: settings.instance, incarnation: this.incarnation, processorShare: settings.processorShare, linkMegabits: settings.linkMegabits }, eligibility, {
-      stateOf: job => this.acting?.stateOf(job),
+      getJobState: job => this.acting?.stateOf(job),
       waitingOf: queue => this.acting?.waitingOf(queue),
       onRoleOffer: incarnation => this.onRoleOffer(incarnation),
       onHolderExited: incarnation => this.leadership.onHolderExited(incarnation, this.now())
--- a/src/cluster/instanceLinks.ts
+++ b/src/cluster/instanceLinks.ts
@@ -25,7 +25,7 @@
 /** Answers of this instance to others, and what it learns over links. */
 export interface InstanceLinksObserver {
   /** State of a job, if this instance acts as the scheduler. */
-  stateOf (job: string): string | undefined
+  getJobState (job: string): string | undefined
   /** Waiting jobs of a queue, if this instance acts as the scheduler. */
   waitingOf (queue: string): number | undefined
   /** The holder of the role has asked this instance to claim it. */
@@ -136,7 +136,7 @@
   private async onQuestion (link: ClusterLink, message: ClusterMessage): Promise<void> {
     switch (message.type) {
       case 'stateQuestion':
-        link.send({ type: 'stateReply', id: message.id, state: this.observer.stateOf(message.job) ?? 'unsure' })
+        link.send({ type: 'stateReply', id: message.id, state: this.observer.getJobState(message.job) ?? 'unsure' })
         return
       case 'waitingQuestion':
         link.send({ type: 'waitingReply', id: message.id, waiting: this.observer.waitingOf(message.queue) ?? -1 })
--- a/test/cluster/instanceLinks.test.ts
+++ b/test/cluster/instanceLinks.test.ts
@@ -17,7 +17,7 @@
 
 function createLinks (instance: string, ended: string[] = []): InstanceLinks {
   return new InstanceLinks({ instance, incarnation: `${instance}-1`, processorShare: 1, linkMegabits: 1000 }, new NobodyEligible(), {
-    stateOf: job => `${job} at ${instance}`,
+    getJobState: job => `${job} at ${instance}`,
     waitingOf: () => 3,
     onRoleOffer: () => {},
     onHolderExited: incarnation => ended.push(incarnation)
