--- a/src/cluster/clusterInstance.ts
+++ b/src/cluster/clusterInstance.ts
@@ -94,7 +94,7 @@
     this.jobService = this.register(new JobService(log, this, logger, random, now))
     this.links = this.register(new InstanceLinks({ instance: settings.instance, incarnation: this.incarnation, processorShare: settings.processorShare, linkMegabits: settings.linkMegabits }, eligibility, {
       getJobState: job => this.acting?.stateOf(job),
-      waitingOf: queue => this.acting?.waitingOf(queue),
+      countWaitingJobs: queue => this.acting?.waitingOf(queue),
       onRoleOffer: incarnation => this.onRoleOffer(incarnation),
       onHolderExited: incarnation => this.leadership.onHolderExited(incarnation, this.now())
     }, logger, random, now))
--- a/src/cluster/instanceLinks.ts
+++ b/src/cluster/instanceLinks.ts
@@ -27,7 +27,7 @@
   /** State of a job, if this instance acts as the scheduler. */
   getJobState (job: string): string | undefined
   /** Waiting jobs of a queue, if this instance acts as the scheduler. */
-  waitingOf (queue: string): number | undefined
+  countWaitingJobs (queue: string): number | undefined
   /** The holder of the role has asked this instance to claim it. */
   onRoleOffer (incarnation: string): void
   /** The process that held the role has ended: its address refuses connections, or another process answers there. */
@@ -139,7 +139,7 @@
         link.send({ type: 'stateReply', id: message.id, state: this.observer.getJobState(message.job) ?? 'unsure' })
         return
       case 'waitingQuestion':
-        link.send({ type: 'waitingReply', id: message.id, waiting: this.observer.waitingOf(message.queue) ?? -1 })
+        link.send({ type: 'waitingReply', id: message.id, waiting: this.observer.countWaitingJobs(message.queue) ?? -1 })
         return
       case 'eligibilityQuestion': {
         const outcome = await this.eligibility.query(message.step, message.workers, message.timeoutMilliseconds)
--- a/test/cluster/instanceLinks.test.ts
+++ b/test/cluster/instanceLinks.test.ts
@@ -18,7 +18,7 @@
 function createLinks (instance: string, ended: string[] = []): InstanceLinks {
   return new InstanceLinks({ instance, incarnation: `${instance}-1`, processorShare: 1, linkMegabits: 1000 }, new NobodyEligible(), {
     getJobState: job => `${job} at ${instance}`,
-    waitingOf: () => 3,
+    countWaitingJobs: () => 3,
     onRoleOffer: () => {},
     onHolderExited: incarnation => ended.push(incarnation)
   }, new Logger(instance, 'error', () => {}), new Random(1), () => performance.now())
