--- a/src/cluster/clusterInstance.ts
+++ b/src/cluster/clusterInstance.ts
@@ -231,7 +231,7 @@
     // Until the successor shuts this instance out, it goes on placing: taking over takes some appends.
     if (current?.incarnation !== this.incarnation) this.actingEndsAt ??= this.now() + OVERLAP_MILLISECONDS
     else if (this.acting === undefined && !this.isStopping && this.leadership.isHeldHere) this.act()
-    this.links.linkTo(this.leadership.isHeldHere ? undefined : current)
+    this.links.setHolder(this.leadership.isHeldHere ? undefined : current)
   }
 
   private watchRole (): void {
--- a/src/cluster/instanceLinks.ts
+++ b/src/cluster/instanceLinks.ts
@@ -59,7 +59,7 @@
    * Keeps a link to this holder of the role from now on, and to no other; to none if it is undefined. To a holder that has
    * resigned, which places on until its successor does, an open link is kept and none is opened.
    */
-  linkTo (holder: LeadershipRecord | undefined): void {
+  setHolder (holder: LeadershipRecord | undefined): void {
     this.holder = holder
     if (this.holderLink !== undefined && this.holderLink.incarnation !== holder?.incarnation) {
       this.holderLink.link.dispose()
--- a/test/cluster/instanceLinks.test.ts
+++ b/test/cluster/instanceLinks.test.ts
@@ -49,23 +49,23 @@
 
 describe('InstanceLinks', () => {
   it('keeps the link to a holder that has resigned, and drops it for the next', async () => await withPair(async (_holder, record, other) => {
-    other.linkTo(record)
+    other.setHolder(record)
     assert.equal(await askUntilAnswered(other), 'aa at holder')
-    other.linkTo({ ...record, resigned: true })
+    other.setHolder({ ...record, resigned: true })
     assert.equal(await askUntilAnswered(other), 'aa at holder')
-    other.linkTo(undefined)
+    other.setHolder(undefined)
     assert.equal(await other.askHolder({ type: 'stateQuestion', job: 'aa' }, 1000), undefined)
   }))
 
   it('offers the lines of linked instances beside its own', async () => await withPair(async (holder, record, other) => {
-    other.linkTo(record)
+    other.setHolder(record)
     await askUntilAnswered(other)
     assert.deepEqual(holder.eligibilityLines().map(line => line.instance), ['holder', 'other'])
     assert.equal(holder.pickSuccessor()?.instance, 'other')
   }))
 
   it('tells when another process answers at the address of the holder', async () => await withPair(async (_holder, record, other, ended) => {
-    other.linkTo({ ...record, incarnation: 'holder-0' })
+    other.setHolder({ ...record, incarnation: 'holder-0' })
     const endsAt = performance.now() + ANSWER_MILLISECONDS
     while (ended.length === 0 && performance.now() < endsAt) await new Promise(resolve => setTimeout(resolve, 5))
     assert.deepEqual(ended, ['holder-0'])
