--- a/src/cluster/clusterInstance.ts
+++ b/src/cluster/clusterInstance.ts
@@ -150,13 +150,13 @@
 
   async getJobState (job: string, timeoutMilliseconds: number): Promise<StateAnswer | undefined> {
     if (this.acting !== undefined) return this.acting.stateOf(job)
-    const reply = await this.links.askHolder({ type: 'stateQuestion', job }, timeoutMilliseconds)
+    const reply = await this.links.queryHolder({ type: 'stateQuestion', job }, timeoutMilliseconds)
     return reply?.type === 'stateReply' ? reply.state as StateAnswer : undefined
   }
 
   async countWaitingJobs (queue: string, timeoutMilliseconds: number): Promise<number | undefined> {
     if (this.acting !== undefined) return this.acting.waitingOf(queue)
-    const reply = await this.links.askHolder({ type: 'waitingQuestion', queue }, timeoutMilliseconds)
+    const reply = await this.links.queryHolder({ type: 'waitingQuestion', queue }, timeoutMilliseconds)
     return reply?.type === 'waitingReply' && reply.waiting >= 0 ? reply.waiting : undefined
   }
 
--- a/src/cluster/instanceLinks.ts
+++ b/src/cluster/instanceLinks.ts
@@ -69,7 +69,7 @@
   }
 
   /** Asks the holder of the role; undefined without an answer in time. */
-  async askHolder (question: ClusterQuestion, timeoutMilliseconds: number): Promise<ClusterReply | undefined> {
+  async queryHolder (question: ClusterQuestion, timeoutMilliseconds: number): Promise<ClusterReply | undefined> {
     return await this.holderLink?.link.ask(question, timeoutMilliseconds)
   }
 
--- a/test/cluster/instanceLinks.test.ts
+++ b/test/cluster/instanceLinks.test.ts
@@ -27,7 +27,7 @@
 async function askUntilAnswered (links: InstanceLinks): Promise<string | undefined> {
   const endsAt = performance.now() + ANSWER_MILLISECONDS
   while (performance.now() < endsAt) {
-    const reply = await links.askHolder({ type: 'stateQuestion', job: 'aa' }, 1000)
+    const reply = await links.queryHolder({ type: 'stateQuestion', job: 'aa' }, 1000)
     if (reply?.type === 'stateReply') return reply.state
     await new Promise(resolve => setTimeout(resolve, 5))
   }
@@ -54,7 +54,7 @@
     other.setHolder({ ...record, resigned: true })
     assert.equal(await askUntilAnswered(other), 'aa at holder')
     other.setHolder(undefined)
-    assert.equal(await other.askHolder({ type: 'stateQuestion', job: 'aa' }, 1000), undefined)
+    assert.equal(await other.queryHolder({ type: 'stateQuestion', job: 'aa' }, 1000), undefined)
   }))
 
   it('offers the lines of linked instances beside its own', async () => await withPair(async (holder, record, other) => {
