--- a/src/cluster/clusterInstance.ts
+++ b/src/cluster/clusterInstance.ts
@@ -325,7 +325,7 @@
       term,
       bounds: this.settings.bounds,
       renewedAt: () => this.renewedAt,
-      lines: () => this.links.eligibilityLines(),
+      lines: () => this.links.eligibilityChannels(),
       onDeposed: () => this.onDeposed(acting)
     }, this.metrics, this.logger, this.random, this.now)
     this.acting = acting
--- a/src/cluster/instanceLinks.ts
+++ b/src/cluster/instanceLinks.ts
@@ -79,7 +79,7 @@
   }
 
   /** Lines to the eligibility service: this instance's own and those of all linked instances. */
-  eligibilityLines (): EligibilityLine[] {
+  eligibilityChannels (): EligibilityLine[] {
     const own: EligibilityLine = { instance: this.identity.instance, ask: async (step, workers, timeout) => await this.eligibility.query(step, workers, timeout) }
     const others = [...this.peers].map(({ instance, link }): EligibilityLine => ({ instance, ask: async (step, workers, timeout) => await askOverLink(link, step, workers, timeout) }))
     return [own, ...others]
--- a/test/cluster/instanceLinks.test.ts
+++ b/test/cluster/instanceLinks.test.ts
@@ -60,7 +60,7 @@
   it('offers the lines of linked instances beside its own', async () => await withPair(async (holder, record, other) => {
     other.setHolder(record)
     await askUntilAnswered(other)
-    assert.deepEqual(holder.eligibilityLines().map(line => line.instance), ['holder', 'other'])
+    assert.deepEqual(holder.eligibilityChannels().map(line => line.instance), ['holder', 'other'])
     assert.equal(holder.pickSuccessor()?.instance, 'other')
   }))
 
