--- a/src/cluster/instanceLinks.ts
+++ b/src/cluster/instanceLinks.ts
@@ -2,7 +2,7 @@
 import { DisposableObject, toDisposable } from '../base/disposable.js'
 import type { Logger } from '../base/logger.js'
 import type { Random } from '../base/random.js'
-import type { ClusterMessage, ClusterQuestion, ClusterReply } from '../contracts/clusterMessages.js'
+import type { ClusterMessage, ClusterRequest, ClusterReply } from '../contracts/clusterMessages.js'
 import type { LeadershipRecord } from '../contracts/clusterRecords.js'
 import type { SocketAddress } from '../contracts/clusterSettings.js'
 import { ClusterLink, ClusterLinkServer, openClusterLink } from '../links/clusterLink.js'
@@ -69,7 +69,7 @@
   }
 
   /** Asks the holder of the role; undefined without an answer in time. */
-  async queryHolder (question: ClusterQuestion, timeoutMilliseconds: number): Promise<ClusterReply | undefined> {
+  async queryHolder (question: ClusterRequest, timeoutMilliseconds: number): Promise<ClusterReply | undefined> {
     return await this.holderLink?.link.ask(question, timeoutMilliseconds)
   }
 
--- a/src/contracts/clusterMessages.ts
+++ b/src/contracts/clusterMessages.ts
@@ -17,7 +17,7 @@
 export type ClusterMessage = z.infer<typeof clusterMessageSchema>
 export type ClusterReply = Extract<ClusterMessage, { type: 'stateReply' | 'waitingReply' | 'eligibilityReply' }>
 /** A question before it is given its id. */
-export type ClusterQuestion =
+export type ClusterRequest =
   | { readonly type: 'stateQuestion', readonly job: string }
   | { readonly type: 'waitingQuestion', readonly queue: string }
   | { readonly type: 'eligibilityQuestion', readonly step: string, readonly workers: readonly string[], readonly timeoutMilliseconds: number }
--- a/src/links/clusterLink.ts
+++ b/src/links/clusterLink.ts
@@ -4,7 +4,7 @@
 import { Emitter, type Event } from '../base/emitter.js'
 import { describeError, type Logger } from '../base/logger.js'
 import type { SocketAddress } from '../contracts/clusterSettings.js'
-import { clusterMessageSchema, type ClusterMessage, type ClusterQuestion, type ClusterReply } from '../contracts/clusterMessages.js'
+import { clusterMessageSchema, type ClusterMessage, type ClusterRequest, type ClusterReply } from '../contracts/clusterMessages.js'
 
 /** Period of pings in milliseconds, and silence after which a link counts as dead. */
 const PING_PERIOD_MILLISECONDS = 500
@@ -45,7 +45,7 @@
   }
 
   /** Asks the peer; undefined if it does not answer in time or the link closes. */
-  async ask (question: ClusterQuestion, timeoutMilliseconds: number): Promise<ClusterReply | undefined> {
+  async ask (question: ClusterRequest, timeoutMilliseconds: number): Promise<ClusterReply | undefined> {
     if (this.isDisposed) return undefined
     const id = this.nextIdentifier++
     return await new Promise(resolve => {
