--- a/src/cluster/clusterInstance.ts
+++ b/src/cluster/clusterInstance.ts
@@ -135,7 +135,7 @@
 
   /** Whether new callers should be sent here. */
   get isReady (): boolean {
-    const readAt = this.configurationFollower.lastReadAt
+    const readAt = this.configurationFollower.lastReadCompletedAt
     return !this.isStopping && this.configurationInForce !== undefined && readAt !== undefined && this.now() - readAt < UNREADY_WITHOUT_LOG_MILLISECONDS && !this.jobService.isLogUnavailable
   }
 
--- a/src/cluster/topicFollower.ts
+++ b/src/cluster/topicFollower.ts
@@ -32,7 +32,7 @@
   private failures = 0
   private endPause: (() => void) | undefined
   /** When a read last succeeded, in milliseconds of the monotonic clock; undefined before the first. */
-  lastReadAt: number | undefined
+  lastReadCompletedAt: number | undefined
   /** Start of the last read that succeeded. What was stored before it has been seen. */
   currentAsOf: number | undefined
 
@@ -112,7 +112,7 @@
   }
 
   private onSuccess (sentAt: number): void {
-    this.lastReadAt = this.now()
+    this.lastReadCompletedAt = this.now()
     this.currentAsOf = sentAt
     if (this.failures > 0) this.observer.onDidChangeReachable(true, '')
     this.failures = 0
