--- a/src/cluster/actingScheduler.ts
+++ b/src/cluster/actingScheduler.ts
@@ -214,7 +214,7 @@
 
   /** Time since the submissions were read, of the partition that was read longest ago, in milliseconds. */
   private submissionsAge (): number {
-    return this.now() - Math.min(...this.submissions.map(follower => follower.currentAsOf ?? -Infinity))
+    return this.now() - Math.min(...this.submissions.map(follower => follower.lastReadStartedAt ?? -Infinity))
   }
 
   private applyUnprocessed (progress: ReadonlyMap<string, ProgressRecord>): void {
--- a/src/cluster/clusterInstance.ts
+++ b/src/cluster/clusterInstance.ts
@@ -238,7 +238,7 @@
     this.handOverIfSmall()
     if (this.acting !== undefined && this.actingEndsAt !== undefined && this.now() >= this.actingEndsAt) this.stopActing('another instance holds the role')
     if (this.isStopping || this.isClaiming || this.configurationInForce === undefined) return
-    const asOf = this.leadershipFollower.currentAsOf
+    const asOf = this.leadershipFollower.lastReadStartedAt
     if (this.leadership.shouldClaim(this.now(), asOf, this.jobService.logLatencyMilliseconds)) this.claim()
   }
 
--- a/src/cluster/topicFollower.ts
+++ b/src/cluster/topicFollower.ts
@@ -34,7 +34,7 @@
   /** When a read last succeeded, in milliseconds of the monotonic clock; undefined before the first. */
   lastReadCompletedAt: number | undefined
   /** Start of the last read that succeeded. What was stored before it has been seen. */
-  currentAsOf: number | undefined
+  lastReadStartedAt: number | undefined
 
   constructor (
     private readonly log: RecordLog,
@@ -102,7 +102,7 @@
         this.next = undefined
         return true
       case 'records': {
-        const storedAfter = this.currentAsOf
+        const storedAfter = this.lastReadStartedAt
         this.next = outcome.next
         this.onSuccess(sentAt)
         if (outcome.records.length > 0) this.observer.onRecords(outcome.records, false, storedAfter)
@@ -113,7 +113,7 @@
 
   private onSuccess (sentAt: number): void {
     this.lastReadCompletedAt = this.now()
-    this.currentAsOf = sentAt
+    this.lastReadStartedAt = sentAt
     if (this.failures > 0) this.observer.onDidChangeReachable(true, '')
     this.failures = 0
   }
