--- a/src/cluster/actingScheduler.ts
+++ b/src/cluster/actingScheduler.ts
@@ -249,7 +249,7 @@
   }
 
   private async loadUntilDone (follower: TopicFollower): Promise<void> {
-    while (!this.isDisposed && !await follower.load()) await delay(TICK_MILLISECONDS, this.abort.signal)
+    while (!this.isDisposed && !await follower.loadSnapshot()) await delay(TICK_MILLISECONDS, this.abort.signal)
   }
 
   private onSubmissions (batch: SubmissionBatch): void {
--- a/src/cluster/topicFollower.ts
+++ b/src/cluster/topicFollower.ts
@@ -53,7 +53,7 @@
   }
 
   /** Takes the snapshot; resolves with whether it could be read. Without it, `follow` begins with the snapshot. */
-  async load (): Promise<boolean> {
+  async loadSnapshot (): Promise<boolean> {
     const sentAt = this.now()
     const outcome = await this.log.snapshot(this.options.topic, this.options.partition)
     if (this.isDisposed) return false
@@ -71,7 +71,7 @@
   async follow (): Promise<void> {
     while (!this.isDisposed) {
       const startedAt = this.now()
-      const succeeded = this.next === undefined ? await this.load() : await this.readOnce(this.next)
+      const succeeded = this.next === undefined ? await this.loadSnapshot() : await this.readOnce(this.next)
       if (this.isDisposed) return
       const pause = succeeded ? this.options.periodMilliseconds() - (this.now() - startedAt) : backoffMilliseconds(this.failures, RETRY_BASE_MILLISECONDS, RETRY_MAXIMUM_MILLISECONDS, 0.5 + this.random.fraction() / 2)
       if (pause > 0) await this.pause(pause)
