--- a/src/cluster/actingScheduler.ts
+++ b/src/cluster/actingScheduler.ts
@@ -109,7 +109,7 @@
       { topic: TOPICS.submissions, partition, waitMilliseconds: SUBMISSION_WAIT_MILLISECONDS, periodMilliseconds: () => SUBMISSION_PERIOD_MILLISECONDS },
       {
         onRecords: (records, _, storedAfter) => this.onSubmissions({ partition, records, storedAfter }),
-        onDidChangeReachable: (reachable, reason) => logger.info(reachable ? 'submissions can be read again' : 'submissions cannot be read', { term: options.term, reason })
+        onDidChangeReachability: (reachable, reason) => logger.info(reachable ? 'submissions can be read again' : 'submissions cannot be read', { term: options.term, reason })
       },
       random, now
     )))
--- a/src/cluster/clusterInstance.ts
+++ b/src/cluster/clusterInstance.ts
@@ -164,7 +164,7 @@
     return this.register(new TopicFollower(
       this.log,
       { topic, partition: 0, waitMilliseconds: FOLLOW_WAIT_MILLISECONDS, periodMilliseconds },
-      { onRecords, onDidChangeReachable: (reachable, reason) => this.logger.info(reachable ? 'the log can be read again' : 'the log cannot be read', { stream: topic, reason }) },
+      { onRecords, onDidChangeReachability: (reachable, reason) => this.logger.info(reachable ? 'the log can be read again' : 'the log cannot be read', { stream: topic, reason }) },
       this.random, this.now
     ))
   }
--- a/src/cluster/topicFollower.ts
+++ b/src/cluster/topicFollower.ts
@@ -23,7 +23,7 @@
    */
   onRecords (records: readonly StoredRecord[], isSnapshot: boolean, storedAfter: number | undefined): void
   /** The log could not be read, or could be read again. */
-  onDidChangeReachable (reachable: boolean, reason: string): void
+  onDidChangeReachability (reachable: boolean, reason: string): void
 }
 
 /** Follows one partition of a keyed topic from its snapshot on. */
@@ -114,12 +114,12 @@
   private onSuccess (sentAt: number): void {
     this.lastReadCompletedAt = this.now()
     this.lastReadStartedAt = sentAt
-    if (this.failures > 0) this.observer.onDidChangeReachable(true, '')
+    if (this.failures > 0) this.observer.onDidChangeReachability(true, '')
     this.failures = 0
   }
 
   private onFailure (reason: string): void {
     this.failures += 1
-    if (this.failures === 1) this.observer.onDidChangeReachable(false, reason)
+    if (this.failures === 1) this.observer.onDidChangeReachability(false, reason)
   }
 }
--- a/test/cluster/topicFollower.test.ts
+++ b/test/cluster/topicFollower.test.ts
@@ -19,7 +19,7 @@
       let records = 0
       const follower = new TopicFollower(log, { topic: 'topic', partition: 0, waitMilliseconds: 100, periodMilliseconds: () => PERIOD_MILLISECONDS }, {
         onRecords: found => { records += found.length },
-        onDidChangeReachable: () => {}
+        onDidChangeReachability: () => {}
       }, new Random(1), () => performance.now())
       try {
         follower.follow()
