--- a/src/cluster/hedgedAppender.ts
+++ b/src/cluster/hedgedAppender.ts
@@ -26,7 +26,7 @@
   }
 
   /** Time without an answer from which the log seems not to answer, in milliseconds. */
-  get patienceMilliseconds (): number {
+  get hedgeDelayMilliseconds (): number {
     return Math.max(MINIMUM_HEDGE_MILLISECONDS, HEDGE_FACTOR * this.latency.usualMilliseconds)
   }
 
@@ -57,7 +57,7 @@
         this.log.append(topic, partition, records, options).then(onOutcome)
         if (copies >= MAXIMUM_COPIES) return
         if (timer !== undefined) this.timers.delete(timer)
-        timer = setTimeout(() => { if (copies < MAXIMUM_COPIES) send() }, this.patienceMilliseconds)
+        timer = setTimeout(() => { if (copies < MAXIMUM_COPIES) send() }, this.hedgeDelayMilliseconds)
         this.timers.add(timer)
       }
       send()
--- a/src/cluster/submissionAppender.ts
+++ b/src/cluster/submissionAppender.ts
@@ -82,7 +82,7 @@
   }
 
   private get stallMilliseconds (): number {
-    return STALLED_COPIES * this.appender.patienceMilliseconds
+    return STALLED_COPIES * this.appender.hedgeDelayMilliseconds
   }
 
   /** Records that wait behind an append without an answer have not been sent; their callers can try elsewhere. */
