--- a/src/cluster/hedgedAppender.ts
+++ b/src/cluster/hedgedAppender.ts
@@ -27,7 +27,7 @@
 
   /** Time without an answer from which the log seems not to answer, in milliseconds. */
   get hedgeDelayMilliseconds (): number {
-    return Math.max(MINIMUM_HEDGE_MILLISECONDS, HEDGE_FACTOR * this.latency.usualMilliseconds)
+    return Math.max(MINIMUM_HEDGE_MILLISECONDS, HEDGE_FACTOR * this.latency.averageMilliseconds)
   }
 
   /** The first answer that tells what became of the records. `refused` only if every copy was refused. */
--- a/src/cluster/logLatency.ts
+++ b/src/cluster/logLatency.ts
@@ -9,7 +9,7 @@
   constructor (private readonly now: () => number) {}
 
   /** Usual time of an answer, in milliseconds. */
-  get usualMilliseconds (): number {
+  get averageMilliseconds (): number {
     return this.usual
   }
 
