--- a/src/cluster/logLatency.ts
+++ b/src/cluster/logLatency.ts
@@ -14,7 +14,7 @@
   }
 
   /** The usual time, or the age of the oldest call without an answer if that is longer, in milliseconds. */
-  get presentMilliseconds (): number {
+  get currentMilliseconds (): number {
     let oldest = 0
     for (const { sentAt } of this.openSince) oldest = Math.max(oldest, this.now() - sentAt)
     return Math.max(this.usual, oldest)
--- a/src/cluster/submissionAppender.ts
+++ b/src/cluster/submissionAppender.ts
@@ -42,7 +42,7 @@
 
   /** How long the log takes to store a record, in milliseconds. */
   get latencyMilliseconds (): number {
-    return this.appender.latency.presentMilliseconds
+    return this.appender.latency.currentMilliseconds
   }
 
   /** Whether a record appended now would have to wait for a log that is away. */
