--- a/src/cluster/hedgedAppender.ts
+++ b/src/cluster/hedgedAppender.ts
@@ -32,7 +32,7 @@
 
   /** The first answer that tells what became of the records. `refused` only if every copy was refused. */
   async append (topic: string, partition: number, records: readonly KeyedRecord[], options: AppendOptions = {}): Promise<AppendOutcome> {
-    const onAnswer = this.latency.begin()
+    const onAnswer = this.latency.startCall()
     return await new Promise(resolve => {
       let copies = 0
       let open = 0
--- a/src/cluster/logLatency.ts
+++ b/src/cluster/logLatency.ts
@@ -21,7 +21,7 @@
   }
 
   /** Notes that a call was sent; the returned function notes its end. */
-  begin (): (answered: boolean) => void {
+  startCall (): (answered: boolean) => void {
     const call = { sentAt: this.now() }
     this.openSince.add(call)
     return answered => {
