--- a/src/cluster/clusterMetrics.ts
+++ b/src/cluster/clusterMetrics.ts
@@ -22,7 +22,7 @@
     const gauge: Gauge = new Gauge({ name: `vanillaturn_${name}`, help, registers: [this.registry], collect: (): void => gauge.set(read()) })
   }
 
-  answered (operation: string, status: number, milliseconds: number): void {
+  responseSent (operation: string, status: number, milliseconds: number): void {
     this.answers.inc({ operation, status: String(status) })
     this.observe(`answer_${operation}`, milliseconds)
   }
