--- a/src/cluster/clusterMetrics.ts
+++ b/src/cluster/clusterMetrics.ts
@@ -27,7 +27,7 @@
     this.observe(`answer_${operation}`, milliseconds)
   }
 
-  look (outcome: string): void {
+  pollCompleted (outcome: string): void {
     this.looks.inc({ outcome })
   }
 
--- a/src/cluster/workerSessions.ts
+++ b/src/cluster/workerSessions.ts
@@ -91,14 +91,14 @@
     const worker = this.scheduler.workers.get(identity)
     if (worker === undefined) return
     if (worker.isSilent) this.logger.info('worker answers again', { worker: identity })
-    this.metrics.look('report')
+    this.metrics.pollCompleted('report')
     if (report.bornAt === worker.bornAt) worker.acknowledgedEnd = Math.max(worker.acknowledgedEnd, acknowledgedEnd)
     this.scheduler.onReport(identity, report, sentAt, this.now())
     this.options.onDidChange()
   }
 
   private onSilent (identity: string, reason: string): void {
-    this.metrics.look('failed')
+    this.metrics.pollCompleted('failed')
     const worker = this.scheduler.workers.get(identity)
     if (worker === undefined) return
     if (!worker.isSilent) this.logger.warn('worker does not answer', { worker: identity, reason, count: worker.runs.size })
