--- a/src/cluster/actingScheduler.ts
+++ b/src/cluster/actingScheduler.ts
@@ -394,7 +394,7 @@
     this.logger.info('run ordered', { task: task.name, count: run, worker: worker.identity })
     const outcome = await session.start({ task: task.name, run, specification: task.step.job.submission.job.specification, checkpoint: task.checkpoint, ticket })
     if (this.isDisposed) return
-    this.metrics.startOrdered(outcome.kind, this.now() - sentAt)
+    this.metrics.startCommandCompleted(outcome.kind, this.now() - sentAt)
     if (outcome.kind !== 'done') this.logger.info('start was not confirmed', { task: task.name, count: run, worker: worker.identity, code: outcome.kind, reason: 'reason' in outcome ? outcome.reason : undefined })
     switch (outcome.kind) {
       case 'done':
--- a/src/cluster/clusterMetrics.ts
+++ b/src/cluster/clusterMetrics.ts
@@ -31,7 +31,7 @@
     this.looks.inc({ outcome })
   }
 
-  startOrdered (outcome: string, milliseconds: number): void {
+  startCommandCompleted (outcome: string, milliseconds: number): void {
     this.starts.inc({ outcome })
     this.observe('start', milliseconds)
   }
