--- a/src/cluster/actingScheduler.ts
+++ b/src/cluster/actingScheduler.ts
@@ -358,7 +358,7 @@
       this.trigger()
       return
     }
-    this.metrics.recorded(this.now() - startedAt)
+    this.metrics.progressRecorded(this.now() - startedAt)
     this.unrecordedEnds -= endCount
     jobs.forEach((job, index) => this.scheduler.onRecorded(job, states[index] as JobState))
     this.acknowledgeEnds(ends)
--- a/src/cluster/clusterMetrics.ts
+++ b/src/cluster/clusterMetrics.ts
@@ -44,7 +44,7 @@
     this.jobs.inc({ state })
   }
 
-  recorded (milliseconds: number): void {
+  progressRecorded (milliseconds: number): void {
     this.observe('record', milliseconds)
   }
 
