--- a/src/cluster/actingScheduler.ts
+++ b/src/cluster/actingScheduler.ts
@@ -136,7 +136,7 @@
     const open = [...this.scheduler.jobs.values()].filter(job => !job.isFinal)
     const restored = open.filter(job => progress.has(job.identity)).length
     this.logger.info('acting as scheduler', { term: this.options.term, count: this.scheduler.jobs.size, reason: `${open.length} jobs are not finished, ${restored} of them have recorded progress`, durationMilliseconds: Math.round(this.now() - this.startedAt) })
-    this.metrics.takeover(this.now() - this.startedAt)
+    this.metrics.takeoverCompleted(this.now() - this.startedAt)
     this.recordAndOrder()
     this.trigger()
   }
--- a/src/cluster/clusterMetrics.ts
+++ b/src/cluster/clusterMetrics.ts
@@ -48,7 +48,7 @@
     this.observe('record', milliseconds)
   }
 
-  takeover (milliseconds: number): void {
+  takeoverCompleted (milliseconds: number): void {
     this.takeovers.inc()
     this.observe('takeover', milliseconds)
   }
