--- a/test/platform/callerServer.test.ts
+++ b/test/platform/callerServer.test.ts
@@ -28,7 +28,7 @@
         queues: [{ name: 'queue', host: 'h', routePrefix: '/q/', pool: 'pool', priority: 0, attempts: 2, stretch: 2, targetMilliseconds: 500, eligibility: { decisionMilliseconds: 1, perWorkerMilliseconds: 0, ticketMilliseconds: 2000 } }],
         maximumBodyBytes: 10_000
       },
-      front: {
+      jobService: {
         submit: async () => await new Promise<SubmitResult>(resolve => { this.stored.push(() => resolve({ kind: 'accepted' })) }),
         getState: async () => 'pending',
         cancel: async () => 'cancelled',
