--- a/src/cluster/clusterInstance.ts
+++ b/src/cluster/clusterInstance.ts
@@ -16,38 +16,38 @@
 import { TopicFollower } from './topicFollower.js'
 import type { EligibilityPort, WorkerEntry, WorkerPort } from './workerPort.js'
 
-/** Key of the one record in the leadership topic. */
+/** Key of the only record in the leadership topic. */
 const LEADERSHIP_KEY = 'scheduler'
-/** Wait of a read of leadership and configuration, in milliseconds; a connection that went silent is noticed this late. */
-const FOLLOW_WAIT_MILLISECONDS = 1500
-/** Least time between two reads of the workers' registry, in milliseconds; its entries change every heartbeat. Only the acting scheduler places tasks by them. */
-const REGISTRY_PERIOD_MILLISECONDS = { acting: 300, other: 2000 }
-/** Time without an answer after which the role is renewed again, in milliseconds; shorter than the silence after which others claim. */
-const RENEWAL_PATIENCE_MILLISECONDS = 400
-/** Longest time that a former scheduler goes on after another instance has claimed the role, in milliseconds; some appends to a slow log. */
-const OVERLAP_MILLISECONDS = 3000
-/** Period in which the role is watched, in milliseconds. */
-const WATCH_PERIOD_MILLISECONDS = 50
-/** Capacity in cores times rank: an instance that can carry a whole core of the scheduler's work has this rank. */
+/** Longest time that a read of leadership or configuration waits for a record, in milliseconds; an unresponsive connection is detected after this time. */
+const READ_WAIT_MILLISECONDS = 1500
+/** Minimum time between two reads of the worker registry, in milliseconds; its entries change with every heartbeat. Only the active scheduler places tasks by them. */
+const REGISTRY_PERIOD_MILLISECONDS = { active: 300, inactive: 2000 }
+/** Time without a response after which another renewal of the role is sent, in milliseconds; shorter than the time after which others claim it. */
+const RENEWAL_RETRY_MILLISECONDS = 400
+/** Longest time that a former scheduler keeps running after another instance has claimed the role, in milliseconds; several appends to a slow log. */
+const MAXIMUM_OVERLAP_MILLISECONDS = 3000
+/** Period of the checks whether to claim, hand over or stop the scheduler role, in milliseconds. */
+const ROLE_CHECK_PERIOD_MILLISECONDS = 50
+/** Claim rank of an instance that can handle a whole core of the scheduler's work; the rank is inversely proportional to the capacity. */
 const RANK_OF_ONE_CORE = 4
-/** A peer with this many times the capacity of the acting scheduler's instance takes the role over. */
-const HANDOVER_FACTOR = 2
-/** Least time in which an instance acts before it hands the role over, and between two tries, in milliseconds; many times what a takeover costs. */
-const HANDOVER_PAUSE_MILLISECONDS = 5000
-/** Without a read of the log for this long, an instance reports itself as not ready, in milliseconds. */
-const UNREADY_WITHOUT_LOG_MILLISECONDS = FOLLOW_WAIT_MILLISECONDS + 1000
+/** A peer with this multiple of the capacity of the active scheduler's instance takes the role over. */
+const HANDOVER_CAPACITY_FACTOR = 2
+/** Minimum time from taking the role over to handing it over, and between two attempts, in milliseconds; a large multiple of the cost of a takeover. */
+const HANDOVER_INTERVAL_MILLISECONDS = 5000
+/** Time without a successful read of the log after which an instance reports itself as not ready, in milliseconds. */
+const UNREADY_WITHOUT_LOG_MILLISECONDS = READ_WAIT_MILLISECONDS + 1000
 
-/** Sources of what operators and workers write, which the platform's adapter decodes. */
+/** Topics that operators and workers write, and the decoders of their records, which the platform's adapter provides. */
 export interface PlatformTopics {
   readonly configurationTopic: string
   readonly workerTopic: string
-  /** The configuration in a record; undefined if the record is something else or cannot be read. */
+  /** Returns the configuration in a record; undefined if the record holds something else or cannot be decoded. */
   decodeConfiguration (record: StoredRecord): ClusterConfiguration | undefined
-  /** The worker in a record; undefined if it names none that can be used. */
+  /** Returns the worker in a record; undefined if the record describes no usable worker. */
   decodeWorker (record: StoredRecord): WorkerEntry | undefined
 }
 
-/** One instance: serves callers, and acts as the scheduler while it holds the role. */
+/** One instance of the cluster: serves callers, and runs the active scheduler while it holds the role. */
 export class ClusterInstance extends DisposableObject implements SchedulerQueries {
   readonly jobService: JobService
   private readonly incarnation = randomUUID()
@@ -58,22 +58,22 @@
   private readonly workerEntries = new Map<string, WorkerEntry>()
   private readonly links: InstanceLinks
   private configurationInForce: ClusterConfiguration | undefined
-  private acting: ActingScheduler | undefined
+  private scheduler: ActingScheduler | undefined
   private isClaiming = false
-  /** When this instance stops acting although nobody has shut it out; set when another instance claims the role. */
-  private actingEndsAt: number | undefined
-  /** The log held no leadership record when it was first read. */
+  /** When the scheduler of this instance stops even if no successor has fenced it; set when another instance claims the role. */
+  private schedulerEndsAt: number | undefined
+  /** Whether the log held no leadership record when it was first read. */
   private hasNoHolder = false
   private isStopping = false
-  /** Earliest time of the next handover to a larger instance, in milliseconds of the monotonic clock. */
-  private handOverNotBefore = Infinity
+  /** Earliest time of the next handover to an instance with more capacity, in milliseconds of the monotonic clock. */
+  private nextHandoverAt = Infinity
   private renewedAt = 0
-  private renewingSince: number | undefined
-  /** Renewals without an answer yet. */
-  private readonly renewals = new Set<Promise<void>>()
+  private renewalStartedAt: number | undefined
+  /** Renewals that have been sent and have no outcome yet. */
+  private readonly pendingRenewals = new Set<Promise<void>>()
   private isResigning = false
   private linkAddress: string
-  /** Work of the acting scheduler that this instance can carry, in cores. */
+  /** Work of the active scheduler that this instance can handle, in cores. */
   private readonly capacity: number
 
   constructor (
@@ -81,7 +81,7 @@
     private readonly log: RecordLog,
     private readonly workers: WorkerPort,
     eligibility: EligibilityPort,
-    private readonly feeds: PlatformTopics,
+    private readonly platformTopics: PlatformTopics,
     private readonly metrics: ClusterMetrics,
     private readonly logger: Logger,
     private readonly random: Random,
@@ -93,33 +93,33 @@
     this.leadership = new Leadership(settings.instance, this.incarnation, Math.round(RANK_OF_ONE_CORE / this.capacity), random.fraction())
     this.jobService = this.register(new JobService(log, this, logger, random, now))
     this.links = this.register(new InstanceLinks({ instance: settings.instance, incarnation: this.incarnation, processorShare: settings.processorShare, linkMegabits: settings.linkMegabits }, eligibility, {
-      getJobState: job => this.acting?.stateOf(job),
-      countWaitingJobs: queue => this.acting?.waitingOf(queue),
+      getJobState: job => this.scheduler?.stateOf(job),
+      countWaitingJobs: queue => this.scheduler?.waitingOf(queue),
       onRoleOffer: incarnation => this.onRoleOffer(incarnation),
       onHolderExited: incarnation => this.leadership.onHolderExited(incarnation, this.now())
     }, logger, random, now))
-    this.leadershipFollower = this.follower(TOPICS.leadership, () => 0, (records, isSnapshot) => this.onLeadership(records, isSnapshot))
-    this.configurationFollower = this.follower(feeds.configurationTopic, () => 0, records => this.onConfiguration(records))
-    this.registryFollower = this.follower(feeds.workerTopic, () => this.acting === undefined ? REGISTRY_PERIOD_MILLISECONDS.other : REGISTRY_PERIOD_MILLISECONDS.acting, (records, isSnapshot) => this.onRegistry(records, isSnapshot))
-    this.register(toDisposable(() => this.acting?.dispose()))
-    metrics.addGauge('acting', '1 while this instance acts as the scheduler', () => this.acting === undefined ? 0 : 1)
+    this.leadershipFollower = this.createFollower(TOPICS.leadership, () => 0, (records, isSnapshot) => this.onLeadership(records, isSnapshot))
+    this.configurationFollower = this.createFollower(platformTopics.configurationTopic, () => 0, records => this.onConfiguration(records))
+    this.registryFollower = this.createFollower(platformTopics.workerTopic, () => this.scheduler === undefined ? REGISTRY_PERIOD_MILLISECONDS.inactive : REGISTRY_PERIOD_MILLISECONDS.active, (records, isSnapshot) => this.onRegistry(records, isSnapshot))
+    this.register(toDisposable(() => this.scheduler?.dispose()))
+    metrics.addGauge('acting', '1 while this instance acts as the scheduler', () => this.scheduler === undefined ? 0 : 1)
     metrics.addGauge('term', 'Term of the acting scheduler as this instance knows it', () => this.leadership.current?.term ?? 0)
     metrics.addGauge('configuration_revision', 'Revision of the configuration in force here', () => this.configurationInForce?.revision ?? 0)
     metrics.addGauge('scheduling_capacity_cores', 'Work of the acting scheduler that this instance can carry', () => this.capacity)
-    metrics.addGauge('jobs', 'Jobs that the acting scheduler here keeps', () => this.acting?.figures.jobs ?? 0)
-    metrics.addGauge('open_steps', 'Steps with tasks that wait for room', () => this.acting?.figures.openSteps ?? 0)
-    metrics.addGauge('unrecorded_ends', 'Ends of runs that the acting scheduler here knows and the log does not hold', () => this.acting?.figures.unrecordedEnds ?? 0)
-    metrics.addGauge('workers', 'Workers that the acting scheduler here knows', () => this.acting?.figures.workers ?? 0)
+    metrics.addGauge('jobs', 'Jobs that the acting scheduler here keeps', () => this.scheduler?.figures.jobs ?? 0)
+    metrics.addGauge('open_steps', 'Steps with tasks that wait for room', () => this.scheduler?.figures.openSteps ?? 0)
+    metrics.addGauge('unrecorded_ends', 'Ends of runs that the acting scheduler here knows and the log does not hold', () => this.scheduler?.figures.unrecordedEnds ?? 0)
+    metrics.addGauge('workers', 'Workers that the acting scheduler here knows', () => this.scheduler?.figures.workers ?? 0)
   }
 
-  /** Starts listening for links and following the log. */
+  /** Starts to listen for links and to read the log. */
   async start (): Promise<void> {
     const port = await this.links.listen(this.settings.link)
     this.linkAddress = `${this.settings.link.host}:${port}`
     this.leadershipFollower.follow()
     this.configurationFollower.follow()
     this.registryFollower.follow()
-    this.registerInterval(() => this.watchRole(), WATCH_PERIOD_MILLISECONDS)
+    this.registerInterval(() => this.checkRole(), ROLE_CHECK_PERIOD_MILLISECONDS)
     this.registerInterval(() => this.renewIfDue(), RENEWAL_PERIOD_MILLISECONDS)
   }
 
@@ -128,42 +128,42 @@
     return this.configurationInForce
   }
 
-  /** Whether this instance places tasks at present. */
+  /** Returns whether this instance runs the active scheduler. */
   isSchedulerActive (): boolean {
-    return this.acting !== undefined
+    return this.scheduler !== undefined
   }
 
   /** Whether new callers should be sent here. */
   get isReady (): boolean {
-    const readAt = this.configurationFollower.lastReadCompletedAt
-    return !this.isStopping && this.configurationInForce !== undefined && readAt !== undefined && this.now() - readAt < UNREADY_WITHOUT_LOG_MILLISECONDS && !this.jobService.isLogUnavailable
+    const readCompletedAt = this.configurationFollower.lastReadCompletedAt
+    return !this.isStopping && this.configurationInForce !== undefined && readCompletedAt !== undefined && this.now() - readCompletedAt < UNREADY_WITHOUT_LOG_MILLISECONDS && !this.jobService.isLogUnavailable
   }
 
   /**
-   * Reports itself as not ready and offers the role to the others. Callers that still come are served, and tasks are placed
-   * until a successor has taken over.
+   * Makes the instance report itself as not ready and resigns from the role. Requests that still arrive are served, and tasks are
+   * placed until a successor has taken over.
    */
   async prepareStop (): Promise<void> {
     this.isStopping = true
-    await this.resign(this.links.pickSuccessor(), 'the instance stops')
+    await this.resign(this.links.pickSuccessor(), 'the instance is stopping')
   }
 
   async getJobState (job: string, timeoutMilliseconds: number): Promise<StateAnswer | undefined> {
-    if (this.acting !== undefined) return this.acting.stateOf(job)
+    if (this.scheduler !== undefined) return this.scheduler.stateOf(job)
     const reply = await this.links.queryHolder({ type: 'stateQuestion', job }, timeoutMilliseconds)
     return reply?.type === 'stateReply' ? reply.state as StateAnswer : undefined
   }
 
   async countWaitingJobs (queue: string, timeoutMilliseconds: number): Promise<number | undefined> {
-    if (this.acting !== undefined) return this.acting.waitingOf(queue)
+    if (this.scheduler !== undefined) return this.scheduler.waitingOf(queue)
     const reply = await this.links.queryHolder({ type: 'waitingQuestion', queue }, timeoutMilliseconds)
     return reply?.type === 'waitingReply' && reply.waiting >= 0 ? reply.waiting : undefined
   }
 
-  private follower (topic: string, periodMilliseconds: () => number, onRecords: (records: readonly StoredRecord[], isSnapshot: boolean) => void): TopicFollower {
+  private createFollower (topic: string, periodMilliseconds: () => number, onRecords: (records: readonly StoredRecord[], isSnapshot: boolean) => void): TopicFollower {
     return this.register(new TopicFollower(
       this.log,
-      { topic, partition: 0, waitMilliseconds: FOLLOW_WAIT_MILLISECONDS, periodMilliseconds },
+      { topic, partition: 0, waitMilliseconds: READ_WAIT_MILLISECONDS, periodMilliseconds },
       { onRecords, onDidChangeReachability: (reachable, reason) => this.logger.info(reachable ? 'the log can be read again' : 'the log cannot be read', { stream: topic, reason }) },
       this.random, this.now
     ))
@@ -171,18 +171,18 @@
 
   private onConfiguration (records: readonly StoredRecord[]): void {
     for (const record of records) {
-      const configuration = this.feeds.decodeConfiguration(record)
+      const configuration = this.platformTopics.decodeConfiguration(record)
       if (configuration === undefined || configuration.revision <= (this.configurationInForce?.revision ?? -1)) continue
       this.configurationInForce = configuration
       this.logger.info('configuration in force', { revision: configuration.revision, offset: record.offset, count: configuration.queues.length })
     }
     if (this.configurationInForce === undefined) return
-    this.awaitFirstClaim(this.now())
-    this.acting?.setConfiguration(this.configurationInForce)
+    this.startFirstClaimDelay(this.now())
+    this.scheduler?.setConfiguration(this.configurationInForce)
   }
 
-  /** The waits before the first claim count from the configuration on, which reaches all instances at once: the largest claims first. */
-  private awaitFirstClaim (now: number): void {
+  /** Starts the delay before the first claim with the configuration, which reaches all instances at the same time, so that the largest claims first. */
+  private startFirstClaimDelay (now: number): void {
     if (this.hasNoHolder) this.leadership.onNoRecord(now)
   }
 
@@ -190,16 +190,16 @@
     const missing = new Set(isSnapshot ? this.workerEntries.keys() : [])
     for (const record of records) {
       missing.delete(record.key)
-      const entry = record.value === undefined ? undefined : this.feeds.decodeWorker(record)
+      const entry = record.value === undefined ? undefined : this.platformTopics.decodeWorker(record)
       if (entry === undefined) {
         if (record.value === undefined) this.removeWorker(record.key)
-        else this.logger.warn('unusable entry in the registry of workers', { worker: record.key, offset: record.offset })
+        else this.logger.warn('unusable entry in the worker registry', { worker: record.key, offset: record.offset })
         continue
       }
       const known = this.workerEntries.get(entry.identity)
       if (known?.state !== entry.state) this.logger.info('worker listed', { worker: entry.identity, code: entry.state, address: entry.address })
       this.workerEntries.set(entry.identity, entry)
-      this.acting?.setWorker(entry)
+      this.scheduler?.setWorker(entry)
     }
     for (const identity of missing) this.removeWorker(identity)
   }
@@ -207,39 +207,39 @@
   private removeWorker (identity: string): void {
     if (!this.workerEntries.delete(identity)) return
     this.logger.info('worker no longer listed', { worker: identity })
-    this.acting?.removeWorker(identity)
+    this.scheduler?.removeWorker(identity)
   }
 
   private onLeadership (records: readonly StoredRecord[], isSnapshot: boolean): void {
     const now = this.now()
     if (isSnapshot && records.length === 0) this.hasNoHolder = true
-    if (this.configurationInForce !== undefined) this.awaitFirstClaim(now)
+    if (this.configurationInForce !== undefined) this.startFirstClaimDelay(now)
     for (const { value, offset } of records) {
       if (value === undefined) continue
       const record = decodeRecord<LeadershipRecord>(value)
       if (!this.leadership.onRecord(record, now)) continue
-      // A record of this instance's former process: that process has ended.
+      // The record was written by the previous process of this instance, which has exited.
       if (record.instance === this.settings.instance && record.incarnation !== this.incarnation) this.leadership.onHolderExited(record.incarnation, now)
       this.logger.info(record.resigned ? 'the scheduler role is free' : 'the scheduler role is held', { peer: record.instance, term: record.term, address: record.address, offset })
     }
-    this.followRole()
+    this.applyLeadership()
   }
 
-  /** Starts or stops acting, and links to the holder of the role. */
-  private followRole (): void {
+  /** Starts the scheduler or sets the time at which it stops, and keeps a link to the holder of the role. */
+  private applyLeadership (): void {
     const current = this.leadership.current
-    // Until the successor shuts this instance out, it goes on placing: taking over takes some appends.
-    if (current?.incarnation !== this.incarnation) this.actingEndsAt ??= this.now() + OVERLAP_MILLISECONDS
-    else if (this.acting === undefined && !this.isStopping && this.leadership.isHeldHere) this.act()
+    // This scheduler places tasks until the successor fences it, because a takeover takes several appends.
+    if (current?.incarnation !== this.incarnation) this.schedulerEndsAt ??= this.now() + MAXIMUM_OVERLAP_MILLISECONDS
+    else if (this.scheduler === undefined && !this.isStopping && this.leadership.isHeldHere) this.startScheduler()
     this.links.setHolder(this.leadership.isHeldHere ? undefined : current)
   }
 
-  private watchRole (): void {
-    this.handOverIfSmall()
-    if (this.acting !== undefined && this.actingEndsAt !== undefined && this.now() >= this.actingEndsAt) this.stopActing('another instance holds the role')
+  private checkRole (): void {
+    this.handOverIfUndersized()
+    if (this.scheduler !== undefined && this.schedulerEndsAt !== undefined && this.now() >= this.schedulerEndsAt) this.stopScheduler('another instance holds the role')
     if (this.isStopping || this.isClaiming || this.configurationInForce === undefined) return
-    const asOf = this.leadershipFollower.lastReadStartedAt
-    if (this.leadership.shouldClaim(this.now(), asOf, this.jobService.logLatencyMilliseconds)) this.claim()
+    const logReadStartedAt = this.leadershipFollower.lastReadStartedAt
+    if (this.leadership.shouldClaim(this.now(), logReadStartedAt, this.jobService.logLatencyMilliseconds)) this.claim()
   }
 
   private async claim (): Promise<void> {
@@ -256,50 +256,50 @@
     if (outcome !== 'stored' || this.isDisposed) return
     this.renewedAt = sentAt
     this.leadership.onRecord(record, this.now())
-    this.followRole()
+    this.applyLeadership()
   }
 
   private renewIfDue (): void {
     const current = this.leadership.current
     const now = this.now()
     if (!this.leadership.isHeldHere || current === undefined || this.isClaiming || this.isStopping || this.isResigning) return
-    if (this.renewingSince !== undefined && now - this.renewingSince < RENEWAL_PATIENCE_MILLISECONDS) return
-    this.renewingSince = now
+    if (this.renewalStartedAt !== undefined && now - this.renewalStartedAt < RENEWAL_RETRY_MILLISECONDS) return
+    this.renewalStartedAt = now
     const renewal = this.renew(current, now)
-    this.renewals.add(renewal)
-    renewal.then(() => this.renewals.delete(renewal))
+    this.pendingRenewals.add(renewal)
+    renewal.then(() => this.pendingRenewals.delete(renewal))
   }
 
-  /** Restates the role. Readers ignore the record if another instance has claimed a later term before. */
+  /** Renews the role. Readers ignore the record if another instance has claimed a later term before it. */
   private async renew (current: LeadershipRecord, now: number): Promise<void> {
     const outcome = await this.append(current, undefined)
-    if (this.renewingSince === now) this.renewingSince = undefined
+    if (this.renewalStartedAt === now) this.renewalStartedAt = undefined
     if (outcome === 'stored') this.renewedAt = Math.max(this.renewedAt, now)
     else this.offerRole()
   }
 
-  /** Gives the role up in favour of a peer. This instance places on until the successor shuts it out. */
+  /** Resigns from the role in favour of a peer. This instance places tasks until the successor fences it. */
   private async resign (successor: Peer | undefined, reason: string): Promise<void> {
     const current = this.leadership.current
     if (!this.leadership.isHeldHere || current === undefined || this.isResigning) return
     this.isResigning = true
-    // A renewal that is stored after the resignation would take it back.
-    await Promise.all(this.renewals)
+    // A renewal that is stored after the resignation would revoke it.
+    await Promise.all(this.pendingRenewals)
     const outcome = await this.append({ ...current, resigned: true, successor: successor?.instance ?? '' }, undefined)
     this.isResigning = false
     this.logger.info('role of scheduler offered', { term: current.term, peer: successor?.instance, code: outcome, reason })
   }
 
-  /** An instance that can carry too little of the work hands the role over to one that can carry much more. */
-  private handOverIfSmall (): void {
-    if (this.acting === undefined || !this.leadership.isHeldHere || this.isStopping || this.now() < this.handOverNotBefore) return
+  /** Hands the role over if a peer has a multiple of this instance's capacity. */
+  private handOverIfUndersized (): void {
+    if (this.scheduler === undefined || !this.leadership.isHeldHere || this.isStopping || this.now() < this.nextHandoverAt) return
     const successor = this.links.pickSuccessor()
-    if (successor === undefined || successor.capacity < HANDOVER_FACTOR * this.capacity) return
-    this.handOverNotBefore = this.now() + HANDOVER_PAUSE_MILLISECONDS
-    this.resign(successor, `the peer can carry ${successor.capacity.toFixed(2)} cores of the work, this instance ${this.capacity.toFixed(2)}`)
+    if (successor === undefined || successor.capacity < HANDOVER_CAPACITY_FACTOR * this.capacity) return
+    this.nextHandoverAt = this.now() + HANDOVER_INTERVAL_MILLISECONDS
+    this.resign(successor, `the peer can handle ${successor.capacity.toFixed(2)} cores of the work, this instance ${this.capacity.toFixed(2)}`)
   }
 
-  /** Asks another instance to claim the role, because this one cannot write to the log. It may be able to. */
+  /** Asks another instance to claim the role, because this one cannot write to the log and the other one may be able to. */
   private offerRole (): void {
     const peer = this.links.pickSuccessor()
     if (!this.leadership.isHeldHere || this.isStopping || peer === undefined) return
@@ -317,35 +317,35 @@
     return outcome.kind
   }
 
-  private act (): void {
+  private startScheduler (): void {
     const term = this.leadership.current?.term
     if (term === undefined || this.configurationInForce === undefined) return
-    this.actingEndsAt = undefined
-    const acting = new ActingScheduler(this.log, this.workers, {
+    this.schedulerEndsAt = undefined
+    const scheduler = new ActingScheduler(this.log, this.workers, {
       term,
       bounds: this.settings.bounds,
       renewedAt: () => this.renewedAt,
       lines: () => this.links.eligibilityChannels(),
-      onDeposed: () => this.onDeposed(acting)
+      onDeposed: () => this.onSuperseded(scheduler)
     }, this.metrics, this.logger, this.random, this.now)
-    this.acting = acting
-    this.handOverNotBefore = this.now() + HANDOVER_PAUSE_MILLISECONDS
+    this.scheduler = scheduler
+    this.nextHandoverAt = this.now() + HANDOVER_INTERVAL_MILLISECONDS
     this.registryFollower.readNow()
-    acting.takeOver(this.configurationInForce, this.workerEntries.values())
+    scheduler.takeOver(this.configurationInForce, this.workerEntries.values())
   }
 
-  private onDeposed (acting: ActingScheduler): void {
-    if (this.acting !== acting) return
+  private onSuperseded (scheduler: ActingScheduler): void {
+    if (this.scheduler !== scheduler) return
     this.leadership.onSuperseded()
-    this.stopActing('a later term is in force')
+    this.stopScheduler('a later term is in force')
   }
 
-  private stopActing (reason: string): void {
-    this.actingEndsAt = undefined
-    if (this.acting === undefined) return
-    const { unrecordedEnds } = this.acting.figures
-    this.acting.dispose()
-    this.acting = undefined
+  private stopScheduler (reason: string): void {
+    this.schedulerEndsAt = undefined
+    if (this.scheduler === undefined) return
+    const { unrecordedEnds } = this.scheduler.figures
+    this.scheduler.dispose()
+    this.scheduler = undefined
     this.logger.info('no longer acting as scheduler', { term: this.leadership.current?.term, reason, count: unrecordedEnds })
   }
 }
