--- a/src/cluster/workerPort.ts
+++ b/src/cluster/workerPort.ts
@@ -1,4 +1,4 @@
-/** What the platform's registry says of a worker. */
+/** Entry of a worker in the platform's registry. */
 export interface WorkerEntry {
   readonly identity: string
   readonly pool: string
@@ -9,22 +9,22 @@
   readonly memoryMegabytes: number
   readonly accelerators: number
   readonly labels: readonly string[]
-  /** Start of the worker's process as Unix milliseconds; 0 if not stated. Tells a restart under the same identity. */
+  /** Start of the worker's process as Unix time in milliseconds, 0 if unknown. Distinguishes a restart under the same identity. */
   readonly bornAt: number
 }
 
-/** A run that the worker reports as present. */
+/** A run that the worker reports as running. */
 export interface RunningReport {
   readonly task: string
   readonly run: number
   readonly checkpoint: string
-  /** Progress in percent; of a long-running task 100 means that it is at work. */
+  /** Progress in percent; for a long-running task, 100 means that it is in service. */
   readonly percent: number
 }
 
 export type EndKind = 'done' | 'failed' | 'stopped' | 'lapsed' | 'broken' | 'alone'
 
-/** The end of a run. `number` counts the ends of one process of the worker, from 1. */
+/** The end of a run. `number` is a sequence number, from 1, that is unique within one process of the worker. */
 export interface EndReport {
   readonly number: number
   readonly task: string
@@ -33,9 +33,9 @@
   readonly checkpoint: string
 }
 
-/** A worker's answer to a look. */
+/** Response of a worker to a poll. */
 export interface WorkerReport {
-  /** The worker's own steady clock, in milliseconds. */
+  /** The worker's own monotonic clock, in milliseconds. */
   readonly clockMilliseconds: number
   readonly bornAt: number
   readonly running: readonly RunningReport[]
@@ -43,15 +43,15 @@
 }
 
 export type PollOutcome =
-  /** `acknowledgedEnd`: up to which end the worker was in fact told to forget; 0 for none. */
+  /** `acknowledgedEnd` is the number of the last end whose acknowledgement was in fact sent; 0 for none. */
   | { readonly kind: 'report', readonly report: WorkerReport, readonly acknowledgedEnd: number }
-  /** The worker has obeyed a greater term. */
+  /** The worker has accepted a greater term. */
   | { readonly kind: 'fenced' }
-  /** Another worker answers at this address. */
+  /** Another worker responds at this address. */
   | { readonly kind: 'replaced' }
   | { readonly kind: 'failed', readonly reason: string }
 
-/** Outcome of an order. `unknown` means that it may be carried out, now or seconds later. */
+/** Outcome of a command. `unknown` means that it may be executed, now or seconds later. */
 export type CommandOutcome =
   | { readonly kind: 'done' }
   | { readonly kind: 'refused', readonly reason: 'old' | 'late' | 'room' | 'ticket' | 'unhealthy' | 'invalid' }
@@ -60,7 +60,7 @@
   | { readonly kind: 'notSent', readonly reason: string }
   | { readonly kind: 'unknown', readonly reason: string }
 
-/** Identity and address of the worker that an order is meant for. */
+/** Identity and address of the worker to which a command is sent. */
 export interface WorkerAddress {
   readonly identity: string
   readonly address: string
@@ -79,22 +79,22 @@
 export interface PollRequest {
   readonly term: number
   /**
-   * Ends up to this number may be forgotten by the process that gave the latest report of the sequence. Another process under the
-   * same identity counts its ends anew, so that the number is sent only over the connection of that report.
+   * Acknowledges the ends up to this number to the process that sent the latest report of the sequence. Another process under the
+   * same identity numbers its ends from 1 again, so the acknowledgement is sent only over the connection of that report.
    */
   readonly acknowledgedEnd: number
-  /** Looks of the sequence follow each other on one connection. A look beside it is not held up by one that waits, and acknowledges nothing. */
+  /** Polls of the sequence follow each other on one connection. A poll outside it is not blocked behind a long poll, and acknowledges nothing. */
   readonly isInSequence: boolean
-  /** End of the lease on the worker's clock in milliseconds; absent where nothing is to be kept running. */
+  /** End of the lease on the worker's clock, in milliseconds; absent if the lease is not to be renewed. */
   readonly leaseUntil?: number
-  /** How long the worker may wait for an end before it answers. */
+  /** Longest time that the worker waits for an end before it responds. */
   readonly waitMilliseconds: number
 }
 
-/** Orders to workers. No method rejects; failures are outcomes. */
+/** Sends polls and commands to workers. No method rejects; failures are outcomes. */
 export abstract class WorkerPort {
-  abstract poll (worker: WorkerAddress, order: PollRequest, signal?: AbortSignal): Promise<PollOutcome>
-  abstract start (worker: WorkerAddress, order: StartCommand): Promise<CommandOutcome>
+  abstract poll (worker: WorkerAddress, request: PollRequest, signal?: AbortSignal): Promise<PollOutcome>
+  abstract start (worker: WorkerAddress, command: StartCommand): Promise<CommandOutcome>
   abstract stop (worker: WorkerAddress, task: string, run: number, term: number): Promise<CommandOutcome>
 }
 
@@ -110,6 +110,6 @@
 
 /** The service that decides which workers may run a step. */
 export abstract class EligibilityPort {
-  /** `workers`: at most 100 identities. */
+  /** Returns which of the workers may run the step. `workers` holds at most 100 identities. */
   abstract query (step: string, workers: readonly string[], timeoutMilliseconds: number): Promise<EligibilityOutcome>
 }
--- a/src/cluster/workerSession.ts
+++ b/src/cluster/workerSession.ts
@@ -3,59 +3,59 @@
 import { DisposableObject, toDisposable } from '../base/disposable.js'
 import type { PollOutcome, CommandOutcome, StartCommand, WorkerAddress, WorkerPort, WorkerReport } from './workerPort.js'
 
-/** How long a worker may wait for an end before it answers a look, in milliseconds; a quarter of the longest lease, so that three looks may fail. */
-const LOOK_WAIT_MILLISECONDS = 1500
-/** Least time from one look to the next, in milliseconds; ends that come close together share an answer. */
-const LOOK_PERIOD_MILLISECONDS = 40
-/** Longest wait for the record of ends before the next look, in milliseconds; some appends to a log that is well. */
-const RECORD_WAIT_MILLISECONDS = 150
-/** Pause after a failed look or stop, in milliseconds. */
-const RETRY_PAUSE_MILLISECONDS = 200
-/** Part by which a worker's clock may be slow. */
+/** Longest time that a worker waits for an end before it responds to a poll, in milliseconds; a quarter of the longest lease, so that three polls may fail. */
+const POLL_WAIT_MILLISECONDS = 1500
+/** Minimum time from one poll to the next, in milliseconds; ends that occur close together share a response. */
+const POLL_PERIOD_MILLISECONDS = 40
+/** Longest wait for ends to be recorded before the next poll, in milliseconds; several appends to a healthy log. */
+const RECORD_TIMEOUT_MILLISECONDS = 150
+/** Delay after a failed poll or stop, in milliseconds. */
+const RETRY_DELAY_MILLISECONDS = 200
+/** Fraction by which a worker's clock may run slow. */
 export const MAXIMUM_CLOCK_DRIFT = 0.02
-/** Added to the latest end of a lease before it counts as certain, in milliseconds. */
-const LAPSE_MARGIN_MILLISECONDS = 150
+/** Margin after the computed end of a lease before it counts as expired, in milliseconds. */
+const LEASE_EXPIRY_MARGIN_MILLISECONDS = 150
 
-/** What a session learns about its worker. */
+/** Receives the events of a session and provides the state that it depends on. */
 export interface WorkerSessionObserver {
-  /** `acknowledgedEnd` is the end up to which the look allowed the worker to forget. */
+  /** Called with each report. `acknowledgedEnd` is the number of the last end that the poll acknowledged. */
   onReport (report: WorkerReport, sentAt: number, getEndToAcknowledge: number): void
   onPollFailed (reason: string): void
-  /** Nothing can run on the worker any more. */
+  /** Called once nothing can run on the worker any more. */
   onWorkerEnded (): void
-  /** The worker obeys a greater term. */
+  /** Called when the worker has accepted a greater term. */
   onFenced (): void
-  /** A stop was confirmed; a look sent from now on shows whether the run is gone. */
+  /** Called when a stop was confirmed; a poll sent from now on shows whether the run has ended. */
   onStopConfirmed (task: string, run: number): void
-  /** Ends were reported that the log does not hold yet: a look would be answered at once with the same ends. */
+  /** Returns whether ends were reported that the log does not hold yet: a poll would return at once with the same ends. */
   hasUnrecordedEnds (): boolean
-  /** Up to which end the worker may forget. */
+  /** Returns the number of the last end that may be acknowledged. */
   getEndToAcknowledge (): number
-  /** Whether the worker must be looked at: something may run there, or ends wait for an acknowledgement. */
+  /** Returns whether the worker must be polled: something may run there, or ends are to be acknowledged. */
   needsPolling (): boolean
 }
 
 export interface WorkerSessionOptions {
   readonly term: number
   readonly leaseMilliseconds: number
-  /** Local time by which leases that former schedulers gave have ended, in milliseconds of the monotonic clock. */
+  /** Local time by which leases granted by former schedulers have expired, in milliseconds of the monotonic clock. */
   readonly formerLeasesEndAt: number
 }
 
-/** Looks at one worker while something may run there, keeps its lease, and carries orders to it. */
+/** Polls one worker while something may run there, renews its lease, and sends commands to it. */
 export class WorkerSession extends DisposableObject {
   private readonly abort = new AbortController()
-  /** Latest report: the worker's clock, and the local time before which it was read. */
+  /** The worker's clock in a report, and the local time when the report was received, which is no earlier than the reading. */
   private clock: { readonly worker: number, readonly local: number } | undefined
-  /** Latest end of a lease that the worker may have been given, on its clock. */
-  private latestLease = 0
+  /** Latest end of any lease that the worker may hold, on its clock. */
+  private latestLeaseEnd = 0
   private leasesEndAt: number
-  private wake: (() => void) | undefined
-  private wakeOnRecord: (() => void) | undefined
+  private wakePollLoop: (() => void) | undefined
+  private resolveRecorded: (() => void) | undefined
   private hasEnded = false
-  /** The latest look has failed. Until one succeeds, none extends the lease: otherwise the end of the leases would never be certain. */
-  private isSilent = false
-  /** Start of the worker's process that reported last; undefined before the first report. */
+  /** Whether the latest poll failed. Until one succeeds, none extends the lease: otherwise its expiry would never be certain. */
+  private hasPollFailed = false
+  /** Start time of the worker process that sent the latest report; undefined before the first report. */
   private bornAt: number | undefined
 
   constructor (
@@ -63,113 +63,113 @@
     private readonly port: WorkerPort,
     private readonly observer: WorkerSessionObserver,
     private readonly options: WorkerSessionOptions,
-    private readonly mayRenew: () => boolean,
+    private readonly canRenewLeases: () => boolean,
     private readonly now: () => number
   ) {
     super()
     this.leasesEndAt = options.formerLeasesEndAt
-    // Each stop that is being repeated listens, and a worker may have to stop all its runs at once.
+    // Each stop that is being retried adds a listener, and a worker may have to stop all its runs at once.
     setMaxListeners(Infinity, this.abort.signal)
     this.register(toDisposable(() => {
       this.abort.abort()
-      this.wake?.()
+      this.wakePollLoop?.()
     }))
   }
 
-  /** Takes over the worker's present address. */
+  /** Sets the worker's current address. */
   setAddress (address: string): void {
     this.worker = { identity: this.worker.identity, address }
   }
 
-  /** Starts looking; the first look is sent at once. */
+  /** Starts polling; the first poll is sent immediately. */
   open (): void {
-    this.lookWhileNeeded()
+    this.pollWhileNeeded()
   }
 
-  /** Something has been placed here or waits for an acknowledgement. */
+  /** Resumes polling: a run has been placed on the worker, or ends are to be acknowledged. */
   wake (): void {
-    this.wake?.()
+    this.wakePollLoop?.()
   }
 
-  /** The ends that were reported are in the log. */
+  /** Called when the ends that were reported have been stored in the log. */
   onEndsRecorded (): void {
-    this.wakeOnRecord?.()
+    this.resolveRecorded?.()
     this.wake()
   }
 
-  async start (order: Omit<StartCommand, 'leaseUntil' | 'term'>): Promise<CommandOutcome> {
-    const leaseUntil = this.nextLeaseEnd()
+  async start (command: Omit<StartCommand, 'leaseUntil' | 'term'>): Promise<CommandOutcome> {
+    const leaseUntil = this.extendLease()
     if (leaseUntil === undefined) return { kind: 'notSent', reason: 'the clock of the worker is not known' }
     this.wake()
-    const outcome = await this.port.start(this.worker, { ...order, leaseUntil, term: this.options.term })
-    this.onOrderOutcome(outcome)
+    const outcome = await this.port.start(this.worker, { ...command, leaseUntil, term: this.options.term })
+    this.onCommandOutcome(outcome)
     return outcome
   }
 
-  /** Sends a stop until the worker confirms it, has ended or the session is disposed. */
+  /** Sends a stop until the worker confirms it, nothing can run on the worker any more, or the session is disposed. */
   async stop (task: string, run: number): Promise<void> {
     while (!this.isDisposed && !this.hasEnded) {
       const outcome = await this.port.stop(this.worker, task, run, this.options.term)
-      this.onOrderOutcome(outcome)
+      this.onCommandOutcome(outcome)
       if (this.isDisposed || outcome.kind === 'fenced') return
-      // An unhealthy worker has done nothing: a start that it was sent before may still come.
+      // An unhealthy worker has not executed the stop: a start that was sent before may still arrive.
       if (outcome.kind === 'done' || (outcome.kind === 'refused' && outcome.reason === 'old')) {
         this.observer.onStopConfirmed(task, run)
         await this.pollOnce()
         return
       }
-      await delay(RETRY_PAUSE_MILLISECONDS, this.abort.signal)
+      await delay(RETRY_DELAY_MILLISECONDS, this.abort.signal)
     }
   }
 
-  /** Looks once, without waiting for an end or for a look that waits. */
+  /** Polls once, without waiting for an end or behind a long poll. */
   async pollOnce (): Promise<boolean> {
-    return await this.look(0, false)
+    return await this.poll(0, false)
   }
 
-  private async lookWhileNeeded (): Promise<void> {
+  private async pollWhileNeeded (): Promise<void> {
     let isFirst = true
     while (!this.isDisposed) {
-      if (!isFirst && !this.observer.needsPolling()) await this.untilPoked()
+      if (!isFirst && !this.observer.needsPolling()) await this.waitUntilWoken()
       if (this.isDisposed) return
       const sentAt = this.now()
-      const succeeded = await this.look(isFirst ? 0 : LOOK_WAIT_MILLISECONDS, true)
+      const succeeded = await this.poll(isFirst ? 0 : POLL_WAIT_MILLISECONDS, true)
       if (this.isDisposed) return
       if (succeeded) isFirst = false
-      if (!succeeded) this.checkLapse()
-      const pause = succeeded ? LOOK_PERIOD_MILLISECONDS - (this.now() - sentAt) : RETRY_PAUSE_MILLISECONDS
-      if (pause > 0) await delay(pause, this.abort.signal)
-      if (succeeded && this.observer.hasUnrecordedEnds()) await this.untilRecorded()
+      if (!succeeded) this.checkLeaseExpiry()
+      const delayMilliseconds = succeeded ? POLL_PERIOD_MILLISECONDS - (this.now() - sentAt) : RETRY_DELAY_MILLISECONDS
+      if (delayMilliseconds > 0) await delay(delayMilliseconds, this.abort.signal)
+      if (succeeded && this.observer.hasUnrecordedEnds()) await this.waitUntilRecorded()
     }
   }
 
-  private async untilRecorded (): Promise<void> {
-    const recorded = new Promise<void>(resolve => { this.wakeOnRecord = resolve })
-    await Promise.race([recorded, delay(RECORD_WAIT_MILLISECONDS, this.abort.signal)])
-    this.wakeOnRecord = undefined
+  private async waitUntilRecorded (): Promise<void> {
+    const recorded = new Promise<void>(resolve => { this.resolveRecorded = resolve })
+    await Promise.race([recorded, delay(RECORD_TIMEOUT_MILLISECONDS, this.abort.signal)])
+    this.resolveRecorded = undefined
   }
 
-  private async untilPoked (): Promise<void> {
+  private async waitUntilWoken (): Promise<void> {
     await new Promise<void>(resolve => {
-      this.wake = resolve
+      this.wakePollLoop = resolve
     })
-    this.wake = undefined
+    this.wakePollLoop = undefined
   }
 
-  private async look (waitMilliseconds: number, isInSequence: boolean): Promise<boolean> {
+  private async poll (waitMilliseconds: number, isInSequence: boolean): Promise<boolean> {
     const sentAt = this.now()
-    const leaseUntil = this.mayRenew() && !this.isSilent ? this.nextLeaseEnd() : undefined
-    // After a failed look another process may answer, which counts its ends anew.
-    const acknowledgedEnd = isInSequence && !this.isSilent ? this.observer.getEndToAcknowledge() : 0
-    const order = { term: this.options.term, acknowledgedEnd, isInSequence, leaseUntil, waitMilliseconds }
-    const outcome = await this.port.poll(this.worker, order, this.abort.signal)
+    const leaseUntil = this.canRenewLeases() && !this.hasPollFailed ? this.extendLease() : undefined
+    // After a failed poll another process may respond, which numbers its ends from 1 again.
+    const acknowledgedEnd = isInSequence && !this.hasPollFailed ? this.observer.getEndToAcknowledge() : 0
+    const request = { term: this.options.term, acknowledgedEnd, isInSequence, leaseUntil, waitMilliseconds }
+    const outcome = await this.port.poll(this.worker, request, this.abort.signal)
     if (this.isDisposed) return false
-    this.isSilent = outcome.kind !== 'report'
-    this.onLookOutcome(outcome, sentAt)
+    this.hasPollFailed = outcome.kind !== 'report'
+    this.onPollOutcome(outcome, sentAt)
     return outcome.kind === 'report'
   }
 
-  private onLookOutcome (outcome: PollOutcome, sentAt: number): void {
+  private onPollOutcome (outcome: PollOutcome, sentAt: number): void {
     switch (outcome.kind) {
       case 'report':
         this.onReport(outcome.report, sentAt, outcome.acknowledgedEnd)
@@ -178,7 +178,7 @@
         this.observer.onFenced()
         return
       case 'replaced':
-        this.onEnded()
+        this.markEnded()
         return
       case 'failed':
         this.observer.onPollFailed(outcome.reason)
@@ -191,41 +191,41 @@
     if (isNewProcess || this.clock === undefined || report.clockMilliseconds > this.clock.worker) {
       this.clock = { worker: report.clockMilliseconds, local: this.now() }
     }
-    // Leases that former schedulers gave, or that were given by the clock of a former process, end at the latest a full lease from now.
-    if (isNewProcess) this.latestLease = report.clockMilliseconds + this.options.leaseMilliseconds
+    // Leases granted by former schedulers, or on the clock of a former process, expire at the latest a full lease from now.
+    if (isNewProcess) this.latestLeaseEnd = report.clockMilliseconds + this.options.leaseMilliseconds
     this.bornAt = report.bornAt
     this.updateLeaseExpiry()
     this.observer.onReport(report, sentAt, acknowledgedEnd)
   }
 
-  /** A full lease from now on the worker's clock, or undefined before the first report. */
-  private nextLeaseEnd (): number | undefined {
+  /** Returns the end of a full lease from now on the worker's clock, or undefined before the first report. */
+  private extendLease (): number | undefined {
     if (this.clock === undefined) return undefined
     const end = this.clock.worker + (this.now() - this.clock.local) + this.options.leaseMilliseconds
-    this.latestLease = Math.max(this.latestLease, end)
+    this.latestLeaseEnd = Math.max(this.latestLeaseEnd, end)
     this.updateLeaseExpiry()
     return end
   }
 
   private updateLeaseExpiry (): void {
     if (this.clock === undefined) return
-    this.leasesEndAt = this.clock.local + (this.latestLease - this.clock.worker) / (1 - MAXIMUM_CLOCK_DRIFT) + LAPSE_MARGIN_MILLISECONDS
+    this.leasesEndAt = this.clock.local + (this.latestLeaseEnd - this.clock.worker) / (1 - MAXIMUM_CLOCK_DRIFT) + LEASE_EXPIRY_MARGIN_MILLISECONDS
   }
 
-  private checkLapse (): void {
+  private checkLeaseExpiry (): void {
     if (this.hasEnded || this.now() < this.leasesEndAt) return
-    this.onEnded()
+    this.markEnded()
   }
 
-  private onEnded (): void {
+  private markEnded (): void {
     if (this.hasEnded) return
     this.hasEnded = true
     this.observer.onWorkerEnded()
   }
 
-  private onOrderOutcome (outcome: CommandOutcome): void {
+  private onCommandOutcome (outcome: CommandOutcome): void {
     if (this.isDisposed) return
     if (outcome.kind === 'fenced') this.observer.onFenced()
-    if (outcome.kind === 'replaced') this.onEnded()
+    if (outcome.kind === 'replaced') this.markEnded()
   }
 }
--- a/src/cluster/workerSessions.ts
+++ b/src/cluster/workerSessions.ts
@@ -6,21 +6,21 @@
 import { MAXIMUM_CLOCK_DRIFT, WorkerSession } from './workerSession.js'
 import type { WorkerState } from './workerState.js'
 
-/** Without contact to the log for this long, leases of workers are no longer renewed, in milliseconds; longer than the outages the log is known for. */
+/** Time since the last renewal of the role in the log after which leases of workers are no longer renewed, in milliseconds; longer than the known outages of the log. */
 export const LEASE_RENEWAL_WITHOUT_LOG_MILLISECONDS = 10_000
 
 export interface WorkerSessionsOptions {
   readonly term: number
   readonly leaseMilliseconds: number
-  /** Time of the last renewal of the role that the log has stored, in milliseconds of the monotonic clock. */
+  /** Returns when the last stored renewal of the role was sent, in milliseconds of the monotonic clock. */
   readonly renewedAt: () => number
-  /** Something has changed that may let tasks be placed. */
+  /** Called when something has changed that may allow tasks to be placed. */
   readonly onDidChange: () => void
-  /** A worker obeys a later term. */
+  /** Called when a worker has accepted a later term. */
   readonly onSuperseded: () => void
 }
 
-/** The sessions of the acting scheduler with all workers: carries what they report to the decisions. */
+/** The sessions of the active scheduler with all workers. Forwards their reports to the scheduler. */
 export class WorkerSessions extends DisposableObject {
   private readonly sessions = new Map<string, WorkerSession>()
   private readonly startedAt: number
@@ -44,7 +44,7 @@
     return this.sessions.get(identity)
   }
 
-  /** Starts to look at a worker, unless a session with it is open. */
+  /** Starts polling a worker, unless a session with it is open. */
   open (worker: WorkerState): void {
     if (this.sessions.has(worker.identity)) return
     const identity = worker.identity
@@ -54,13 +54,13 @@
       this.workers,
       {
         onReport: (report, sentAt, acknowledgedEnd) => this.onReport(identity, report, sentAt, acknowledgedEnd),
-        onPollFailed: reason => this.onSilent(identity, reason),
-        onWorkerEnded: () => this.onEnded(identity),
+        onPollFailed: reason => this.onPollFailed(identity, reason),
+        onWorkerEnded: () => this.onWorkerEnded(identity),
         onFenced: () => this.onFenced(identity),
         onStopConfirmed: (task, run) => this.scheduler.onStopConfirmed(identity, task, run, this.now()),
-        hasUnrecordedEnds: () => this.awaitsRecord(identity),
+        hasUnrecordedEnds: () => this.hasUnrecordedEnds(identity),
         getEndToAcknowledge: () => this.scheduler.workers.get(identity)?.endToAcknowledge ?? 0,
-        needsPolling: () => this.needsLooks(identity)
+        needsPolling: () => this.needsPolling(identity)
       },
       { term, leaseMilliseconds, formerLeasesEndAt: this.startedAt + LEASE_RENEWAL_WITHOUT_LOG_MILLISECONDS + leaseMilliseconds / (1 - MAXIMUM_CLOCK_DRIFT) },
       () => this.now() - renewedAt() < LEASE_RENEWAL_WITHOUT_LOG_MILLISECONDS,
@@ -70,20 +70,20 @@
     session.open()
   }
 
-  /** Ends the session with a worker that the scheduler has forgotten. */
+  /** Closes the session with a worker that the scheduler no longer tracks. */
   closeIfUnknown (identity: string): void {
     if (this.scheduler.workers.has(identity)) return
     this.sessions.get(identity)?.dispose()
     this.sessions.delete(identity)
   }
 
-  private needsLooks (identity: string): boolean {
+  private needsPolling (identity: string): boolean {
     const worker = this.scheduler.workers.get(identity)
     if (worker === undefined) return false
     return worker.runs.size > 0 || worker.hasUnrecordedEnds || worker.endToAcknowledge > 0 || worker.hasStrayRuns || (worker.isSilent && worker.isListed)
   }
 
-  private awaitsRecord (identity: string): boolean {
+  private hasUnrecordedEnds (identity: string): boolean {
     return this.scheduler.workers.get(identity)?.hasUnrecordedEnds === true
   }
 
@@ -97,7 +97,7 @@
     this.options.onDidChange()
   }
 
-  private onSilent (identity: string, reason: string): void {
+  private onPollFailed (identity: string, reason: string): void {
     this.metrics.pollCompleted('failed')
     const worker = this.scheduler.workers.get(identity)
     if (worker === undefined) return
@@ -105,7 +105,7 @@
     this.scheduler.onSilent(identity)
   }
 
-  private onEnded (identity: string): void {
+  private onWorkerEnded (identity: string): void {
     const worker = this.scheduler.workers.get(identity)
     if (worker === undefined) return
     this.logger.info('nothing can run on a worker any more', { worker: identity, count: worker.runs.size })
@@ -117,7 +117,7 @@
 
   private onFenced (identity: string): void {
     if (this.isDisposed) return
-    this.logger.warn('a worker obeys a later term', { worker: identity, term: this.options.term })
+    this.logger.warn('a worker has accepted a later term', { worker: identity, term: this.options.term })
     this.options.onSuperseded()
   }
 }
