--- a/src/cluster/hedgedAppender.ts
+++ b/src/cluster/hedgedAppender.ts
@@ -2,16 +2,16 @@
 import { LogLatency } from './logLatency.js'
 import type { AppendOptions, AppendOutcome, KeyedRecord, RecordLog } from './recordLog.js'
 
-/** Shortest time without an answer after which a copy of an append is sent, in milliseconds; ten times the usual time of an append. */
-const MINIMUM_HEDGE_MILLISECONDS = 180
-/** A copy is sent after this many times the usual time of an append. */
-const HEDGE_FACTOR = 4
-/** Copies of one append at most; of three, all answers are lost in one of twenty cases when a third is lost. */
+/** Minimum delay before an append is hedged, in milliseconds; ten times the usual latency of an append. */
+const MINIMUM_HEDGE_DELAY_MILLISECONDS = 180
+/** An append is hedged after this multiple of its average latency. */
+const HEDGE_DELAY_FACTOR = 4
+/** Maximum number of copies of one append. When a third of the responses is lost, all three are lost in one of twenty cases. */
 const MAXIMUM_COPIES = 3
 
 /**
- * Sends further copies of an append that gets no answer, because the answer or the connection may be lost.
- * Only for appends whose repeats are harmless.
+ * Sends hedged appends: repeats an append that gets no response, because the response or the connection may be lost.
+ * Only for appends that may safely be repeated.
  */
 export class HedgedAppender extends DisposableObject {
   readonly latency: LogLatency
@@ -25,39 +25,39 @@
     }))
   }
 
-  /** Time without an answer from which the log seems not to answer, in milliseconds. */
+  /** Time without a response after which a further copy is sent, in milliseconds. */
   get hedgeDelayMilliseconds (): number {
-    return Math.max(MINIMUM_HEDGE_MILLISECONDS, HEDGE_FACTOR * this.latency.averageMilliseconds)
+    return Math.max(MINIMUM_HEDGE_DELAY_MILLISECONDS, HEDGE_DELAY_FACTOR * this.latency.averageMilliseconds)
   }
 
-  /** The first answer that tells what became of the records. `refused` only if every copy was refused. */
+  /** Appends and returns the first conclusive outcome. The outcome is `refused` only if every copy was refused. */
   async append (topic: string, partition: number, records: readonly KeyedRecord[], options: AppendOptions = {}): Promise<AppendOutcome> {
-    const onAnswer = this.latency.startCall()
+    const finishCall = this.latency.startCall()
     return await new Promise(resolve => {
-      let copies = 0
-      let open = 0
+      let sentCopies = 0
+      let pendingCopies = 0
       let mayBeStored = false
       let timer: NodeJS.Timeout | undefined
       const finish = (outcome: AppendOutcome): void => {
-        copies = MAXIMUM_COPIES
-        onAnswer(outcome.kind === 'stored')
+        sentCopies = MAXIMUM_COPIES
+        finishCall(outcome.kind === 'stored')
         clearTimeout(timer)
         if (timer !== undefined) this.timers.delete(timer)
         resolve(outcome)
       }
       const onOutcome = (outcome: AppendOutcome): void => {
-        open -= 1
+        pendingCopies -= 1
         if (outcome.kind === 'unknown') mayBeStored = true
         if (outcome.kind !== 'unknown' && outcome.kind !== 'refused') finish(outcome)
-        else if (open === 0) finish(mayBeStored ? { kind: 'unknown', reason: outcome.reason } : outcome)
+        else if (pendingCopies === 0) finish(mayBeStored ? { kind: 'unknown', reason: outcome.reason } : outcome)
       }
       const send = (): void => {
-        copies += 1
-        open += 1
+        sentCopies += 1
+        pendingCopies += 1
         this.log.append(topic, partition, records, options).then(onOutcome)
-        if (copies >= MAXIMUM_COPIES) return
+        if (sentCopies >= MAXIMUM_COPIES) return
         if (timer !== undefined) this.timers.delete(timer)
-        timer = setTimeout(() => { if (copies < MAXIMUM_COPIES) send() }, this.hedgeDelayMilliseconds)
+        timer = setTimeout(() => { if (sentCopies < MAXIMUM_COPIES) send() }, this.hedgeDelayMilliseconds)
         this.timers.add(timer)
       }
       send()
--- a/src/cluster/logLatency.ts
+++ b/src/cluster/logLatency.ts
@@ -1,32 +1,32 @@
-/** Weight of the latest answer in the usual time. */
-const LEARNING_RATE = 0.3
+/** Weight of the latest call in the moving average. */
+const SMOOTHING_FACTOR = 0.3
 
-/** How long the log takes to answer, as this instance sees it. */
+/** Latency of the log as this instance measures it. */
 export class LogLatency {
-  private usual = 0
-  private readonly openSince = new Set<{ readonly sentAt: number }>()
+  private average = 0
+  private readonly pendingCalls = new Set<{ readonly sentAt: number }>()
 
   constructor (private readonly now: () => number) {}
 
-  /** Usual time of an answer, in milliseconds. */
+  /** Exponential moving average of the latency, in milliseconds. */
   get averageMilliseconds (): number {
-    return this.usual
+    return this.average
   }
 
-  /** The usual time, or the age of the oldest call without an answer if that is longer, in milliseconds. */
+  /** The average latency, or the age of the oldest pending call if that is longer, in milliseconds. */
   get currentMilliseconds (): number {
     let oldest = 0
-    for (const { sentAt } of this.openSince) oldest = Math.max(oldest, this.now() - sentAt)
-    return Math.max(this.usual, oldest)
+    for (const { sentAt } of this.pendingCalls) oldest = Math.max(oldest, this.now() - sentAt)
+    return Math.max(this.average, oldest)
   }
 
-  /** Notes that a call was sent; the returned function notes its end. */
-  startCall (): (answered: boolean) => void {
+  /** Records that a call was sent; the returned function records its end. */
+  startCall (): (hasResponse: boolean) => void {
     const call = { sentAt: this.now() }
-    this.openSince.add(call)
-    return answered => {
-      this.openSince.delete(call)
-      if (answered) this.usual += LEARNING_RATE * (this.now() - call.sentAt - this.usual)
+    this.pendingCalls.add(call)
+    return hasResponse => {
+      this.pendingCalls.delete(call)
+      if (hasResponse) this.average += SMOOTHING_FACTOR * (this.now() - call.sentAt - this.average)
     }
   }
 }
--- a/src/cluster/recordLog.ts
+++ b/src/cluster/recordLog.ts
@@ -8,7 +8,7 @@
   readonly offset: number
 }
 
-/** Outcome of an append. `refused` and `conflict` mean that nothing was stored; `unknown` that it may be, now or later. */
+/** Outcome of an append. `refused` and `conflict` mean that nothing was stored; `unknown` that the records may be stored, now or later. */
 export type AppendOutcome =
   | { readonly kind: 'stored', readonly end: number }
   | { readonly kind: 'refused', readonly reason: string }
@@ -20,25 +20,25 @@
   | { readonly kind: 'outOfSequence', readonly expected: number }
   | { readonly kind: 'unknown', readonly reason: string }
 
-/** Outcome of a read. `expired` means that the requested records are no longer kept. */
+/** Outcome of a read. `expired` means that the requested records are no longer retained. */
 export type ReadOutcome =
   | { readonly kind: 'records', readonly records: readonly StoredRecord[], readonly next: number }
   | { readonly kind: 'expired', readonly first: number }
   | { readonly kind: 'unavailable', readonly reason: string }
 
-/** Outcome of reading the latest record of each key. Following from `end` misses nothing. */
+/** Outcome of reading the latest record of each key. Reading on from `end` misses no record. */
 export type SnapshotOutcome =
   | { readonly kind: 'snapshot', readonly records: readonly StoredRecord[], readonly end: number }
   | { readonly kind: 'unavailable', readonly reason: string }
 
 export interface AppendOptions {
-  /** Append only if the partition ends at this offset. */
+  /** Expected end of the partition; the append fails with a conflict if it ends elsewhere. */
   readonly atOffset?: number
-  /** Fenced writer: repeats with the same sequence are stored once, and a lower term is refused. */
+  /** Fenced writer: retries with the same sequence number are stored once, and a lower term is refused. */
   readonly writer?: { readonly name: string, readonly term: number, readonly sequence: number }
 }
 
-/** Topics that the instances keep. */
+/** Topics that the instances write. */
 export const TOPICS = {
   leadership: 'keyed.leadership',
   submissions: 'keyed.submissions',
@@ -48,7 +48,7 @@
 /** Keyed topics of the platform's log. No method rejects; failures are outcomes. */
 export abstract class RecordLog {
   abstract append (topic: string, partition: number, records: readonly KeyedRecord[], options?: AppendOptions): Promise<AppendOutcome>
-  /** Reads from an offset; waits up to `waitMilliseconds` if there is nothing yet. */
+  /** Reads from an offset; waits up to `waitMilliseconds` for a record if there is none. */
   abstract read (topic: string, partition: number, from: number, waitMilliseconds: number): Promise<ReadOutcome>
   abstract snapshot (topic: string, partition: number): Promise<SnapshotOutcome>
 }
--- a/src/cluster/submissionAppender.ts
+++ b/src/cluster/submissionAppender.ts
@@ -4,13 +4,13 @@
 import { TOPICS, type AppendOutcome, type KeyedRecord, type RecordLog } from './recordLog.js'
 import { SUBMISSION_PARTITIONS } from './submissions.js'
 
-/** Pause before an append of unknown outcome is repeated, in milliseconds. */
-const RETRY_PAUSE_MILLISECONDS = 80
-/** An append that has no answer after this many times the patience for one copy shows that the log is away. */
-const STALLED_COPIES = 2
-/** Time for which a refusal of the log counts as current, in milliseconds; a few of its usual answers, so that its return is noticed at once. */
-const REFUSAL_MEMORY_MILLISECONDS = 60
-/** Most records of one append. */
+/** Delay before an append of unknown outcome is retried, in milliseconds. */
+const RETRY_DELAY_MILLISECONDS = 80
+/** The log counts as unavailable when an append has no response after this many hedge delays. */
+const STALL_HEDGE_DELAYS = 2
+/** Time for which the log counts as unavailable after it refused an append, in milliseconds; a few usual response times, so that its recovery is noticed immediately. */
+const REFUSAL_VALIDITY_MILLISECONDS = 60
+/** Maximum number of records in one append. */
 const MAXIMUM_BATCH_RECORDS = 500
 
 /** `refused` means that nothing was stored and nothing will be; `unknown` that the record may be stored, now or later. */
@@ -18,13 +18,13 @@
 
 interface PendingRecord {
   readonly record: KeyedRecord
-  readonly giveUpAt: number
+  readonly deadline: number
   readonly resolve: (outcome: SubmissionOutcome) => void
 }
 
 /**
- * Appends submissions and cancels, one append at a time, to one partition after the other; records that arrive meanwhile share the next one.
- * A repeat of a record is harmless, so that an append without an answer is repeated until it is stored.
+ * Appends submissions and cancels, one batch at a time, to the partitions in turn; records that arrive during an append form the next batch.
+ * Repeating a record is harmless, so an append without a response is retried until it is stored.
  */
 export class SubmissionAppender extends DisposableObject {
   private readonly abort = new AbortController()
@@ -40,21 +40,21 @@
     this.register(toDisposable(() => this.abort.abort()))
   }
 
-  /** How long the log takes to store a record, in milliseconds. */
+  /** Current latency of an append, in milliseconds. */
   get latencyMilliseconds (): number {
     return this.appender.latency.currentMilliseconds
   }
 
-  /** Whether a record appended now would have to wait for a log that is away. */
+  /** Whether the log is unavailable, so that a record appended now would have to wait. */
   get isStalled (): boolean {
     const now = this.now()
-    return now - this.refusedAt < REFUSAL_MEMORY_MILLISECONDS || (this.appendingSince !== undefined && now - this.appendingSince > this.stallMilliseconds)
+    return now - this.refusedAt < REFUSAL_VALIDITY_MILLISECONDS || (this.appendingSince !== undefined && now - this.appendingSince > this.stallMilliseconds)
   }
 
-  /** Resolves once the record is stored, the log has refused it, or the time is over. */
+  /** Resolves once the record is stored, the log has refused it, or the timeout has passed. */
   async append (record: KeyedRecord, timeoutMilliseconds: number): Promise<SubmissionOutcome> {
     return await new Promise(resolve => {
-      this.queue.push({ record, resolve, giveUpAt: this.now() + timeoutMilliseconds })
+      this.queue.push({ record, resolve, deadline: this.now() + timeoutMilliseconds })
       if (!this.isAppending) this.appendQueued()
     })
   }
@@ -73,39 +73,39 @@
   private async appendBatch (batch: PendingRecord[]): Promise<void> {
     this.appendingSince = this.now()
     const stall = setTimeout(() => this.refuseQueued(), this.stallMilliseconds)
-    const timers = batch.map(pending => setTimeout(() => pending.resolve('unknown'), Math.max(0, pending.giveUpAt - this.now())))
+    const timers = batch.map(pending => setTimeout(() => pending.resolve('unknown'), Math.max(0, pending.deadline - this.now())))
     this.partition = (this.partition + 1) % SUBMISSION_PARTITIONS
-    const outcome = await this.appendUntilKnown(batch.map(pending => pending.record), Math.max(...batch.map(pending => pending.giveUpAt)))
+    const outcome = await this.appendUntilKnown(batch.map(pending => pending.record), Math.max(...batch.map(pending => pending.deadline)))
     for (const timer of [...timers, stall]) clearTimeout(timer)
     this.appendingSince = undefined
     for (const pending of batch) pending.resolve(outcome)
   }
 
   private get stallMilliseconds (): number {
-    return STALLED_COPIES * this.appender.hedgeDelayMilliseconds
+    return STALL_HEDGE_DELAYS * this.appender.hedgeDelayMilliseconds
   }
 
-  /** Records that wait behind an append without an answer have not been sent; their callers can try elsewhere. */
+  /** Refuses the records queued behind an append without a response: they have not been sent, so their callers can retry at another instance. */
   private refuseQueued (): void {
     for (const pending of this.queue.splice(0)) pending.resolve('refused')
   }
 
-  private async appendUntilKnown (records: readonly KeyedRecord[], giveUpAt: number): Promise<SubmissionOutcome> {
+  private async appendUntilKnown (records: readonly KeyedRecord[], deadline: number): Promise<SubmissionOutcome> {
     let mayBeStored = false
     while (!this.isDisposed) {
       const outcome = await this.appender.append(TOPICS.submissions, this.partition, records)
       if (outcome.kind === 'stored') return 'stored'
-      this.onFailure(describe(outcome), records.length)
+      this.onFailure(describeOutcome(outcome), records.length)
       if (outcome.kind === 'unknown') mayBeStored = true
       else this.refusedAt = this.now()
       if (!mayBeStored) return 'refused'
-      if (this.now() > giveUpAt) return 'unknown'
-      await delay(RETRY_PAUSE_MILLISECONDS, this.abort.signal)
+      if (this.now() > deadline) return 'unknown'
+      await delay(RETRY_DELAY_MILLISECONDS, this.abort.signal)
     }
     return mayBeStored ? 'unknown' : 'refused'
   }
 }
 
-function describe (outcome: AppendOutcome): string {
+function describeOutcome (outcome: AppendOutcome): string {
   return 'reason' in outcome ? `${outcome.kind}: ${outcome.reason}` : outcome.kind
 }
--- a/src/cluster/submissions.ts
+++ b/src/cluster/submissions.ts
@@ -1,12 +1,12 @@
 /**
- * Partitions of the submissions topic. Each takes one append at a time, about 4 ms each and sixty times that when the log is slow,
- * so that the appends of all instances must not wait for each other.
+ * Number of partitions of the submissions topic. A partition executes one append at a time, in about 4 ms and sixty times that when the
+ * log is slow; several partitions keep the appends of all instances from waiting for each other.
  */
 export const SUBMISSION_PARTITIONS = 8
 
 const CANCEL_SUFFIX = '/cancel'
 
-/** Key of the record that cancels a job. */
+/** Returns the key of the record that cancels a job. */
 export function cancelKey (job: string): string {
   return job + CANCEL_SUFFIX
 }
--- a/src/cluster/topicFollower.ts
+++ b/src/cluster/topicFollower.ts
@@ -3,37 +3,37 @@
 import type { Random } from '../base/random.js'
 import type { RecordLog, StoredRecord } from './recordLog.js'
 
-/** Bounds of the pause after a failed read, in milliseconds; the first retry comes within the time of one append. */
+/** Bounds of the backoff after a failed read, in milliseconds; the first retry comes within the time of one append. */
 const RETRY_BASE_MILLISECONDS = 50
 const RETRY_MAXIMUM_MILLISECONDS = 400
 
 export interface TopicFollowerOptions {
   readonly topic: string
   readonly partition: number
-  /** How long a read may wait for a record, in milliseconds. */
+  /** Longest time that a read waits for a record, in milliseconds. */
   readonly waitMilliseconds: number
-  /** Least time from one read to the next, in milliseconds; records that come close together share a read. Asked for after each read. */
+  /** Returns the minimum time from one read to the next, in milliseconds; records that arrive close together share a read. Called after each read. */
   readonly periodMilliseconds: () => number
 }
 
 export interface TopicFollowerObserver {
   /**
-   * Records in order. Of a snapshot only the latest of each key are given; `isSnapshot` says that keys that are not given have no record.
-   * `storedAfter`: when the read that ended before these records was sent, in milliseconds of the monotonic clock; undefined for a snapshot.
+   * Called with records in log order. A snapshot holds only the latest record of each key; if `isSnapshot` is set, absent keys have no record.
+   * `storedAfter` is when the previous successful read was sent, in milliseconds of the monotonic clock; undefined for a snapshot.
    */
   onRecords (records: readonly StoredRecord[], isSnapshot: boolean, storedAfter: number | undefined): void
-  /** The log could not be read, or could be read again. */
+  /** Called when reads start to fail and when they succeed again. */
   onDidChangeReachability (reachable: boolean, reason: string): void
 }
 
-/** Follows one partition of a keyed topic from its snapshot on. */
+/** Reads one partition of a keyed topic continuously, starting from its snapshot. */
 export class TopicFollower extends DisposableObject {
   private next: number | undefined
   private failures = 0
-  private endPause: (() => void) | undefined
-  /** When a read last succeeded, in milliseconds of the monotonic clock; undefined before the first. */
+  private cancelPause: (() => void) | undefined
+  /** When the last successful read completed, in milliseconds of the monotonic clock; undefined before the first. */
   lastReadCompletedAt: number | undefined
-  /** Start of the last read that succeeded. What was stored before it has been seen. */
+  /** When the last successful read was sent. Every record that was stored before then has been received. */
   lastReadStartedAt: number | undefined
 
   constructor (
@@ -44,15 +44,15 @@
     private readonly now: () => number
   ) {
     super()
-    this.register(toDisposable(() => this.endPause?.()))
+    this.register(toDisposable(() => this.cancelPause?.()))
   }
 
-  /** Offset after the last record seen; undefined before the first read. */
+  /** Offset after the last record received; undefined before the first read. */
   get position (): number | undefined {
     return this.next
   }
 
-  /** Takes the snapshot; resolves with whether it could be read. Without it, `follow` begins with the snapshot. */
+  /** Reads the snapshot and resolves with whether that succeeded. `follow` starts with the snapshot unless it has been loaded. */
   async loadSnapshot (): Promise<boolean> {
     const sentAt = this.now()
     const outcome = await this.log.snapshot(this.options.topic, this.options.partition)
@@ -67,7 +67,7 @@
     return true
   }
 
-  /** Follows until disposed. */
+  /** Reads until disposed. */
   async follow (): Promise<void> {
     while (!this.isDisposed) {
       const startedAt = this.now()
@@ -78,16 +78,16 @@
     }
   }
 
-  /** Reads now if the next read is being waited for. */
+  /** Starts the next read immediately if the follower is pausing between two reads. */
   readNow (): void {
-    this.endPause?.()
+    this.cancelPause?.()
   }
 
   private async pause (milliseconds: number): Promise<void> {
     const pause = new AbortController()
-    this.endPause = () => pause.abort()
+    this.cancelPause = () => pause.abort()
     await delay(milliseconds, pause.signal)
-    this.endPause = undefined
+    this.cancelPause = undefined
   }
 
   private async readOnce (from: number): Promise<boolean> {
