--- a/src/cluster/clusterMetrics.ts
+++ b/src/cluster/clusterMetrics.ts
@@ -1,47 +1,47 @@
 import { build, type Histogram } from 'hdr-histogram-js'
 import { Counter, Gauge, Registry } from 'prom-client'
 
-/** Quantiles that are shown of each distribution. */
-const SHOWN_PERCENTILES = [50, 90, 99, 100]
-/** Greatest duration that distributions tell apart, in milliseconds. */
+/** Percentiles exported for each distribution. */
+const EXPORTED_PERCENTILES = [50, 90, 99, 100]
+/** Highest duration that distributions record, in milliseconds; longer ones count as this one. */
 const HIGHEST_MILLISECONDS = 600_000
 
-/** Counters and distributions of one instance in the Prometheus text format. */
+/** Metrics of one instance in the Prometheus text format. */
 export class ClusterMetrics {
   private readonly registry = new Registry()
-  private readonly answers = this.counter('answers_total', 'Answers to callers', ['operation', 'status'])
-  private readonly looks = this.counter('looks_total', 'Looks at workers', ['outcome'])
-  private readonly starts = this.counter('starts_total', 'Start orders', ['outcome'])
-  private readonly ends = this.counter('run_ends_total', 'Ends of runs', ['kind'])
-  private readonly jobs = this.counter('jobs_finished_total', 'Jobs that reached a final state', ['state'])
-  private readonly takeovers = this.counter('takeovers_total', 'Times that this instance took the scheduler role over', [])
+  private readonly answersTotal = this.counter('answers_total', 'Answers to callers', ['operation', 'status'])
+  private readonly looksTotal = this.counter('looks_total', 'Looks at workers', ['outcome'])
+  private readonly startsTotal = this.counter('starts_total', 'Start orders', ['outcome'])
+  private readonly runEndsTotal = this.counter('run_ends_total', 'Ends of runs', ['kind'])
+  private readonly jobsFinishedTotal = this.counter('jobs_finished_total', 'Jobs that reached a final state', ['state'])
+  private readonly takeoversTotal = this.counter('takeovers_total', 'Times that this instance took the scheduler role over', [])
   private readonly durations = new Map<string, Histogram>()
 
-  /** Registers a gauge whose value is read when metrics are asked for. */
+  /** Registers a gauge whose value is read when metrics are scraped. */
   addGauge (name: string, help: string, read: () => number): void {
     const gauge: Gauge = new Gauge({ name: `vanillaturn_${name}`, help, registers: [this.registry], collect: (): void => gauge.set(read()) })
   }
 
   responseSent (operation: string, status: number, milliseconds: number): void {
-    this.answers.inc({ operation, status: String(status) })
+    this.answersTotal.inc({ operation, status: String(status) })
     this.observe(`answer_${operation}`, milliseconds)
   }
 
   pollCompleted (outcome: string): void {
-    this.looks.inc({ outcome })
+    this.looksTotal.inc({ outcome })
   }
 
   startCommandCompleted (outcome: string, milliseconds: number): void {
-    this.starts.inc({ outcome })
+    this.startsTotal.inc({ outcome })
     this.observe('start', milliseconds)
   }
 
   runEnded (kind: string): void {
-    this.ends.inc({ kind })
+    this.runEndsTotal.inc({ kind })
   }
 
   jobFinished (state: string): void {
-    this.jobs.inc({ state })
+    this.jobsFinishedTotal.inc({ state })
   }
 
   progressRecorded (milliseconds: number): void {
@@ -49,17 +49,17 @@
   }
 
   takeoverCompleted (milliseconds: number): void {
-    this.takeovers.inc()
+    this.takeoversTotal.inc()
     this.observe('takeover', milliseconds)
   }
 
-  /** The text of all metrics. */
+  /** Returns all metrics in the Prometheus text format. */
   async text (): Promise<string> {
     const lines = [await this.registry.metrics()]
     for (const [name, histogram] of this.durations) {
       const metric = `vanillaturn_${name}_milliseconds`
       lines.push(`# TYPE ${metric} summary`)
-      for (const percentile of SHOWN_PERCENTILES) lines.push(`${metric}{quantile="${percentile / 100}"} ${histogram.getValueAtPercentile(percentile)}`)
+      for (const percentile of EXPORTED_PERCENTILES) lines.push(`${metric}{quantile="${percentile / 100}"} ${histogram.getValueAtPercentile(percentile)}`)
       lines.push(`${metric}_count ${histogram.totalCount}`)
     }
     return lines.join('\n') + '\n'
--- a/src/cluster/instanceLinks.ts
+++ b/src/cluster/instanceLinks.ts
@@ -11,30 +11,30 @@
 import { schedulingCapacityOf, type InstanceResources } from './schedulingCapacity.js'
 import type { EligibilityOutcome, EligibilityPort } from './workerPort.js'
 
-/** Pause before a link that could not be opened is tried again, in milliseconds. */
-const LINK_RETRY_MILLISECONDS = 150
-/** Time added to a question to another instance for the way there and back, in milliseconds. */
-const LINK_SLACK_MILLISECONDS = 50
+/** Delay before another attempt to open a link, in milliseconds. */
+const LINK_RETRY_DELAY_MILLISECONDS = 150
+/** Allowance for the round trip of a request to another instance, added to its timeout, in milliseconds. */
+const LINK_ROUND_TRIP_MILLISECONDS = 50
 
-/** Who this instance is to the others. */
+/** Identity and resources that this instance announces to the others. */
 export interface LinkIdentity extends InstanceResources {
   readonly instance: string
   readonly incarnation: string
 }
 
-/** Answers of this instance to others, and what it learns over links. */
+/** Answers the queries of other instances and receives the events of links. */
 export interface InstanceLinksObserver {
-  /** State of a job, if this instance acts as the scheduler. */
+  /** Returns the state of a job, if this instance runs the active scheduler. */
   getJobState (job: string): string | undefined
-  /** Waiting jobs of a queue, if this instance acts as the scheduler. */
+  /** Returns the number of waiting jobs of a queue, if this instance runs the active scheduler. */
   countWaitingJobs (queue: string): number | undefined
-  /** The holder of the role has asked this instance to claim it. */
+  /** Called when the holder of the role has asked this instance to claim it. */
   onRoleOffer (incarnation: string): void
-  /** The process that held the role has ended: its address refuses connections, or another process answers there. */
+  /** Called when the process that held the role has exited: its address refuses connections, or another process responds there. */
   onHolderExited (incarnation: string): void
 }
 
-/** Links between the instances: each keeps one to the holder of the role of scheduler. */
+/** Links between instances. Each instance keeps a link to the holder of the scheduler role. */
 export class InstanceLinks extends DisposableObject {
   private readonly server: ClusterLinkServer
   private readonly peers: PeerSet
@@ -56,8 +56,8 @@
   }
 
   /**
-   * Keeps a link to this holder of the role from now on, and to no other; to none if it is undefined. To a holder that has
-   * resigned, which places on until its successor does, an open link is kept and none is opened.
+   * Sets the holder of the role, the only instance to which a link is kept; without a holder, none is kept. An open link to a holder
+   * that has resigned is kept, because that holder places tasks until its successor does, but no new one is opened.
    */
   setHolder (holder: LeadershipRecord | undefined): void {
     this.holder = holder
@@ -68,20 +68,20 @@
     this.connectToHolder()
   }
 
-  /** Asks the holder of the role; undefined without an answer in time. */
-  async queryHolder (question: ClusterRequest, timeoutMilliseconds: number): Promise<ClusterReply | undefined> {
-    return await this.holderLink?.link.ask(question, timeoutMilliseconds)
+  /** Sends a request to the holder of the role; resolves with undefined if there is no reply in time. */
+  async queryHolder (request: ClusterRequest, timeoutMilliseconds: number): Promise<ClusterReply | undefined> {
+    return await this.holderLink?.link.ask(request, timeoutMilliseconds)
   }
 
-  /** The peer to which the role should pass from here; undefined if none is linked. */
+  /** Returns the peer that should take the role over from this instance; undefined if no peer has a link. */
   pickSuccessor (): Peer | undefined {
     return this.peers.pickSuccessor()
   }
 
-  /** Lines to the eligibility service: this instance's own and those of all linked instances. */
+  /** Returns the channels to the eligibility service: this instance's own and one through each linked instance. */
   eligibilityChannels (): EligibilityLine[] {
     const own: EligibilityLine = { instance: this.identity.instance, ask: async (step, workers, timeout) => await this.eligibility.query(step, workers, timeout) }
-    const others = [...this.peers].map(({ instance, link }): EligibilityLine => ({ instance, ask: async (step, workers, timeout) => await askOverLink(link, step, workers, timeout) }))
+    const others = [...this.peers].map(({ instance, link }): EligibilityLine => ({ instance, ask: async (step, workers, timeout) => await queryOverLink(link, step, workers, timeout) }))
     return [own, ...others]
   }
 
@@ -93,7 +93,7 @@
     this.isConnecting = false
     if (!(link instanceof ClusterLink)) {
       if (link === 'refused') this.observer.onHolderExited(holder.incarnation)
-      await delay(LINK_RETRY_MILLISECONDS)
+      await delay(LINK_RETRY_DELAY_MILLISECONDS)
       this.connectToHolder()
       return
     }
@@ -103,10 +103,10 @@
       return
     }
     this.holderLink = { incarnation: holder.incarnation, link }
-    this.sayHello(link)
+    this.sendHello(link)
     link.onDidReceive(message => {
       if (message.type === 'roleOffer') this.observer.onRoleOffer(message.incarnation)
-      else if (message.type !== 'hello') this.onQuestion(link, message)
+      else if (message.type !== 'hello') this.onRequest(link, message)
       else if (message.incarnation !== holder.incarnation) this.observer.onHolderExited(holder.incarnation)
     })
     link.onDidClose(() => {
@@ -117,23 +117,23 @@
 
   private onOpened (link: ClusterLink): void {
     let instance: string | undefined
-    this.sayHello(link)
+    this.sendHello(link)
     link.onDidReceive(message => {
       if (message.type === 'hello') {
         instance = message.instance
         this.peers.add({ instance, link, capacity: schedulingCapacityOf(message) })
-      } else this.onQuestion(link, message)
+      } else this.onRequest(link, message)
     })
     link.onDidClose(() => {
       if (instance !== undefined) this.peers.remove(instance, link)
     })
   }
 
-  private sayHello (link: ClusterLink): void {
+  private sendHello (link: ClusterLink): void {
     link.send({ type: 'hello', ...this.identity })
   }
 
-  private async onQuestion (link: ClusterLink, message: ClusterMessage): Promise<void> {
+  private async onRequest (link: ClusterLink, message: ClusterMessage): Promise<void> {
     switch (message.type) {
       case 'stateQuestion':
         link.send({ type: 'stateReply', id: message.id, state: this.observer.getJobState(message.job) ?? 'unsure' })
@@ -155,8 +155,8 @@
   }
 }
 
-async function askOverLink (link: ClusterLink, step: string, workers: readonly string[], timeoutMilliseconds: number): Promise<EligibilityOutcome> {
-  const reply = await link.ask({ type: 'eligibilityQuestion', step, workers, timeoutMilliseconds }, timeoutMilliseconds + LINK_SLACK_MILLISECONDS)
+async function queryOverLink (link: ClusterLink, step: string, workers: readonly string[], timeoutMilliseconds: number): Promise<EligibilityOutcome> {
+  const reply = await link.ask({ type: 'eligibilityQuestion', step, workers, timeoutMilliseconds }, timeoutMilliseconds + LINK_ROUND_TRIP_MILLISECONDS)
   if (reply?.type !== 'eligibilityReply') return { kind: 'failed', reason: 'the instance did not answer' }
   if (reply.reason !== '') return { kind: 'failed', reason: reply.reason }
   return { kind: 'eligible', workers: reply.workers.map(([worker, ticket]) => ({ worker, ticket })), validMilliseconds: reply.validMilliseconds }
--- a/src/cluster/peerSet.ts
+++ b/src/cluster/peerSet.ts
@@ -1,18 +1,18 @@
 import type { ClusterLink } from '../links/clusterLink.js'
 import type { Random } from '../base/random.js'
 
-/** Part of the largest peer's capacity from which a peer counts as equally fit for the role of scheduler. */
-const EQUALLY_FIT_SHARE = 0.75
+/** Share of the largest peer's capacity at which a peer is an equivalent candidate for the scheduler role. */
+const EQUIVALENT_CAPACITY_SHARE = 0.75
 
-/** Another instance that is linked to this one. */
+/** Another instance that has a link to this one. */
 export interface Peer {
   readonly instance: string
   readonly link: ClusterLink
-  /** Work of the acting scheduler that the instance can carry, in cores. */
+  /** Work of the active scheduler that the instance can handle, in cores. */
   readonly capacity: number
 }
 
-/** The instances that are linked to the holder of the role of scheduler. */
+/** The instances that have a link to the holder of the scheduler role. */
 export class PeerSet {
   private readonly peers = new Map<string, Peer>()
 
@@ -22,7 +22,7 @@
     this.peers.set(peer.instance, peer)
   }
 
-  /** Drops a peer, unless it has opened another link since. */
+  /** Removes a peer, unless it has opened another link in the meantime. */
   remove (instance: string, link: ClusterLink): void {
     if (this.peers.get(instance)?.link === link) this.peers.delete(instance)
   }
@@ -31,10 +31,10 @@
     return this.peers.values()
   }
 
-  /** One of the largest peers, at random: a small one could not keep up with the work of the scheduler. Undefined if there is none. */
+  /** Returns a random one of the largest peers, because a small one could not keep up with the scheduler's work; undefined if there is none. */
   pickSuccessor (): Peer | undefined {
     const largest = Math.max(...[...this.peers.values()].map(peer => peer.capacity))
-    const fit = [...this.peers.values()].filter(peer => peer.capacity >= EQUALLY_FIT_SHARE * largest)
-    return fit.length === 0 ? undefined : this.random.pick(fit)
+    const candidates = [...this.peers.values()].filter(peer => peer.capacity >= EQUIVALENT_CAPACITY_SHARE * largest)
+    return candidates.length === 0 ? undefined : this.random.pick(candidates)
   }
 }
--- a/src/cluster/schedulingCapacity.ts
+++ b/src/cluster/schedulingCapacity.ts
@@ -1,7 +1,7 @@
-/** Bandwidth that the acting scheduler uses for each core of processor time, in megabits per second: half a core of its work fills a link of 7 Mbit/s. */
+/** Bandwidth that the active scheduler uses for each core of processor time, in megabits per second: half a core of its work saturates a link of 7 Mbit/s. */
 const LINK_MEGABITS_PER_CORE = 14
 
-/** What an instance may use. */
+/** Resources that an instance may use. */
 export interface InstanceResources {
   /** Processor time, in cores. */
   readonly processorShare: number
@@ -9,7 +9,7 @@
   readonly linkMegabits: number
 }
 
-/** Work of the acting scheduler that an instance can carry, in cores: what its processor share allows, or less where its link is full before. */
+/** Returns how much work of the active scheduler an instance can handle, in cores: its processor share, or less if its link saturates first. */
 export function schedulingCapacityOf ({ processorShare, linkMegabits }: InstanceResources): number {
   return Math.min(processorShare, linkMegabits / LINK_MEGABITS_PER_CORE)
 }
