--- a/src/contracts/clusterMessages.ts
+++ b/src/contracts/clusterMessages.ts
@@ -2,10 +2,10 @@
 
 const identifier = z.number().int().nonnegative()
 
-/** Messages between an instance and the acting scheduler. Both sides begin with `hello`. Every question carries an id, which its reply repeats. */
+/** Messages between an instance and the active scheduler. Both sides send `hello` first. Every request carries an id, which its reply repeats. */
 export const clusterMessageSchema = z.discriminatedUnion('type', [
   z.object({ type: z.literal('hello'), instance: z.string(), incarnation: z.string(), /** In cores. */ processorShare: z.number(), /** Bandwidth of the instance's own link, in megabits per second. */ linkMegabits: z.number().default(Infinity) }),
-  /** The acting scheduler cannot write to the log; the receiver should claim the role if it can. */
+  /** The active scheduler cannot write to the log; the receiver should claim the role if it can. */
   z.object({ type: z.literal('roleOffer'), incarnation: z.string() }),
   z.object({ type: z.literal('stateQuestion'), id: identifier, job: z.string() }),
   z.object({ type: z.literal('waitingQuestion'), id: identifier, queue: z.string() }),
@@ -16,7 +16,7 @@
 ])
 export type ClusterMessage = z.infer<typeof clusterMessageSchema>
 export type ClusterReply = Extract<ClusterMessage, { type: 'stateReply' | 'waitingReply' | 'eligibilityReply' }>
-/** A question before it is given its id. */
+/** A request before its id is assigned. */
 export type ClusterRequest =
   | { readonly type: 'stateQuestion', readonly job: string }
   | { readonly type: 'waitingQuestion', readonly queue: string }
--- a/src/contracts/clusterRecords.ts
+++ b/src/contracts/clusterRecords.ts
@@ -2,34 +2,34 @@
 import type { QueuePolicy } from './clusterConfiguration.js'
 import type { StepJob, JobState } from './stepJob.js'
 
-/** Progress of one task that is not done: index, last run, worker (empty if none), failed runs, checkpoint (empty if none). */
+/** Progress of one task that is not done: index, last run, worker (empty if none), number of failed runs, checkpoint (empty if none). */
 export type TaskRow = readonly [index: number, run: number, worker: string, failures: number, checkpoint: string]
 
-/** Progress of one step: indexes of the tasks that are done, rows of the others that have started, and the last run of a gang that was counted as failed. */
+/** Progress of one step: indexes of the tasks that are done, rows of the others that have started, and the last run of a gang that counted as a failure. */
 export type StepRow = readonly [done: readonly number[], tasks: readonly TaskRow[], lastFailedRun?: number]
 
 /** Progress of one occurrence. */
 export type OccurrenceRow = readonly [occurrence: number, steps: readonly StepRow[]]
 
-/** A job that has been accepted. Written once by the instance that accepted it; a repeat is the same record. */
+/** A job that has been accepted. Written by the instance that accepted it; a retry writes the same record. */
 export interface SubmissionRecord {
   readonly queue: string
   readonly pool: string
-  /** Policy of the queue at acceptance; holds while no configuration names the queue. Missing in records of former versions. */
+  /** Policy of the queue at acceptance; applies while no configuration contains the queue. Absent from records of earlier versions. */
   readonly policy?: Omit<QueuePolicy, 'pool'>
   readonly job: StepJob
   /** Unix time of acceptance, in milliseconds; used for ordering and statistics only. */
   readonly acceptedAt: number
 }
 
-/** Progress of a job as the acting scheduler knows it. The latest record of a job holds. */
+/** Progress of a job as recorded by the active scheduler. The latest record of a job is authoritative. */
 export interface ProgressRecord {
   readonly state: JobState
   readonly reason?: string
   readonly occurrences: readonly OccurrenceRow[]
 }
 
-/** Claim or renewal of the role of acting scheduler. */
+/** Claim, renewal or resignation of the active scheduler role. */
 export interface LeadershipRecord {
   readonly term: number
   readonly instance: string
@@ -37,9 +37,9 @@
   readonly incarnation: string
   /** Address of the holder's link, as host:port. */
   readonly address: string
-  /** The holder gives the role up. */
+  /** Whether the holder has resigned from the role. */
   readonly resigned: boolean
-  /** Instance that should claim a role that was given up; the others wait a little. Empty if none was known. */
+  /** Instance that should claim the role after a resignation; the others delay their claims. Empty if none was known. */
   readonly successor?: string
 }
 
@@ -50,7 +50,7 @@
   return packer.pack(record)
 }
 
-/** Decodes a record that an instance of this version has written; throws if the bytes are no such record. */
+/** Decodes a record written by `encodeRecord`. Throws if the bytes cannot be unpacked; the type is not verified. */
 export function decodeRecord<T extends SubmissionRecord | ProgressRecord | LeadershipRecord> (value: Uint8Array): T {
   return packer.unpack(value) as T
 }
--- a/src/contracts/clusterSettings.ts
+++ b/src/contracts/clusterSettings.ts
@@ -4,13 +4,13 @@
   readonly port: number
 }
 
-/** Bounds that the platform states, in milliseconds unless the name says otherwise. */
+/** Bounds set by the platform. */
 export interface ClusterBounds {
   /** Longest lease of a worker. */
   readonly workerLeaseMilliseconds: number
   /** Grace time between the stop signal and the kill. */
   readonly graceMilliseconds: number
-  /** How long the state of a finished job stays readable. */
+  /** Time for which the state of a finished job stays readable. */
   readonly stateRetentionMilliseconds: number
 }
 
--- a/src/contracts/stepJob.ts
+++ b/src/contracts/stepJob.ts
@@ -1,57 +1,57 @@
 import { z } from 'zod'
 
-/** Most tasks of one step and most steps of one job; larger jobs are refused as malformed. */
+/** Maximum number of tasks in a step and of steps in a job; larger jobs are refused as malformed. */
 const MAXIMUM_TASKS_PER_STEP = 10_000
 const MAXIMUM_STEPS = 200
-/** Longest specification text in bytes. */
+/** Maximum length of a specification text, in bytes. */
 const MAXIMUM_TEXT_BYTES = 4000
 
 const amount = z.number().int().nonnegative().max(Number.MAX_SAFE_INTEGER)
 const positiveAmount = z.number().int().positive().max(Number.MAX_SAFE_INTEGER)
 
-/** One step of a job: `count` alike tasks that start once all tasks of the steps in `after` have ended well. */
+/** One step of a job: `count` identical tasks that start once all tasks of the steps in `after` have succeeded. */
 export const jobStepSchema = z.strictObject({
   count: positiveAmount.max(MAXIMUM_TASKS_PER_STEP),
   /** Processors of one task, in thousandths of a core. */
   processorsThousandths: amount.default(0),
   memoryMegabytes: amount.default(0),
   accelerators: amount.default(0),
-  /** Rough duration of one task, in milliseconds; declared by the caller and often far off. */
+  /** Estimated duration of one task, in milliseconds; declared by the caller and often inaccurate. */
   estimateMilliseconds: amount.default(0),
   /** Indexes of earlier steps that must be done first. */
   after: z.array(amount).default([]),
-  /** The tasks work only together: all of one run are present, and end together. */
+  /** The tasks form a gang: all tasks of one run are placed together and end together. */
   gang: z.boolean().default(false),
-  /** The tasks run slower when they are spread over several racks. */
+  /** The tasks run slower when they are spread across several racks. */
   sameRack: z.boolean().default(false),
   requiredLabel: z.string().default(''),
-  /** Rack that holds the data; the tasks run slower elsewhere. */
+  /** Rack that holds the input data; the tasks run slower elsewhere. */
   dataRack: z.string().default(''),
-  /** Most tasks of the step on one worker; 0 means no limit. */
+  /** Maximum number of tasks of the step on one worker; 0 means no limit. */
   maximumPerWorker: amount.default(0),
-  /** Copies of a task may run in parallel; the first that ends counts. */
+  /** Copies of a task may run in parallel; the first that finishes counts. */
   speculative: z.boolean().default(false),
-  /** The tasks run until the job is cancelled and are restarted however they end. */
+  /** The tasks run until the job is cancelled and are restarted whenever they end, whether they succeeded or failed. */
   longRunning: z.boolean().default(false),
   /** The tasks save progress and can resume from a checkpoint. */
   checkpointable: z.boolean().default(false),
-  /** What the tasks run; tasks of one image behave alike. Empty if not stated. */
+  /** Image that the tasks run; tasks with the same image behave alike. Empty if unspecified. */
   image: z.string().default(''),
-  /** Bound on the tail of response times of a serving task, in milliseconds; 0 means none. */
+  /** Bound on the tail latency of a serving task, in milliseconds; 0 means none. */
   targetMilliseconds: amount.default(0),
-  /** The tasks use processors that others leave idle; their processors count against no capacity. */
+  /** The tasks use processor time that others leave idle; their processors do not count against capacity. */
   filler: z.boolean().default(false),
-  /** Tasks of a long-running step that may be unavailable at once through actions of the system. */
+  /** Maximum number of tasks of a long-running step that the system may make unavailable at the same time. */
   maximumUnavailable: amount.default(0)
 })
 export type JobStep = z.infer<typeof jobStepSchema>
 
-/** A job of dependent steps, which may recur. */
+/** A job of steps with dependencies, which may recur. */
 export const stepJobSchema = z.strictObject({
-  /** Handed to every task as it is. */
+  /** Passed to every task unchanged. */
   specification: z.string().refine(text => Buffer.byteLength(text) <= MAXIMUM_TEXT_BYTES, `longer than ${MAXIMUM_TEXT_BYTES} bytes`),
   steps: z.array(jobStepSchema).min(1).max(MAXIMUM_STEPS),
-  /** Number of occurrences; 0 means that the job runs once, at once. */
+  /** Number of occurrences; 0 means that the job runs once, immediately. */
   occurrences: amount.max(1_000_000).default(0),
   /** Unix time at which the first occurrence is due, in milliseconds. */
   firstDueMilliseconds: amount.default(0),
