--- a/src/cluster/workerPort.ts
+++ b/src/cluster/workerPort.ts
@@ -24,7 +24,7 @@
 
 export type EndKind = 'done' | 'failed' | 'stopped' | 'lapsed' | 'broken' | 'alone'
 
-/** The end of a run. `number` is a sequence number, from 1, that is unique within one process of the worker. */
+/** The end of a run. `number` numbers the ends of one process of the worker consecutively from 1. */
 export interface EndReport {
   readonly number: number
   readonly task: string
--- a/src/cluster/workerSession.ts
+++ b/src/cluster/workerSession.ts
@@ -53,7 +53,7 @@
   private wakePollLoop: (() => void) | undefined
   private resolveRecorded: (() => void) | undefined
   private hasEnded = false
-  /** Whether the latest poll failed. Until one succeeds, none extends the lease: otherwise its expiry would never be certain. */
+  /** Whether the latest poll failed. Until one succeeds, no poll extends the lease: otherwise its expiry would never be certain. */
   private hasPollFailed = false
   /** Start time of the worker process that sent the latest report; undefined before the first report. */
   private bornAt: number | undefined
--- a/src/cluster/workerSessions.ts
+++ b/src/cluster/workerSessions.ts
@@ -6,7 +6,7 @@
 import { MAXIMUM_CLOCK_DRIFT, WorkerSession } from './workerSession.js'
 import type { WorkerState } from './workerState.js'
 
-/** Time since the last renewal of the role in the log after which leases of workers are no longer renewed, in milliseconds; longer than the known outages of the log. */
+/** Leases of workers are renewed only if the role was renewed in the log within this time, in milliseconds; longer than the known outages of the log. */
 export const LEASE_RENEWAL_WITHOUT_LOG_MILLISECONDS = 10_000
 
 export interface WorkerSessionsOptions {
--- a/src/contracts/stepJob.ts
+++ b/src/contracts/stepJob.ts
@@ -20,7 +20,7 @@
   estimateMilliseconds: amount.default(0),
   /** Indexes of earlier steps that must be done first. */
   after: z.array(amount).default([]),
-  /** The tasks form a gang: all tasks of one run are placed together and end together. */
+  /** The tasks form a gang: they can work only if all tasks of the run are present, and they end together. */
   gang: z.boolean().default(false),
   /** The tasks run slower when they are spread across several racks. */
   sameRack: z.boolean().default(false),
