--- a/src/cluster/activeScheduler.ts
+++ b/src/cluster/activeScheduler.ts
@@ -100,7 +100,7 @@
       leaseMilliseconds: options.bounds.workerLeaseMilliseconds,
       renewedAt: options.renewedAt,
       onDidChange: () => this.requestRound(),
-      onDeposed: options.onSuperseded
+      onSuperseded: options.onSuperseded
     }, metrics, logger, now))
     this.retention = this.register(new JobRetention(log, logger))
     this.eligibilityRequester = new EligibilityRequester(this.scheduler, options.eligibilityChannels, result => this.onEligibilityResult(result), now)
@@ -109,7 +109,7 @@
       { topic: TOPICS.submissions, partition, waitMilliseconds: SUBMISSION_WAIT_MILLISECONDS, periodMilliseconds: () => SUBMISSION_PERIOD_MILLISECONDS },
       {
         onRecords: (records, _, storedAfter) => this.onSubmissions({ partition, records, storedAfter }),
-        onDidChangeReachable: (reachable, reason) => logger.info(reachable ? 'submissions can be read again' : 'submissions cannot be read', { term: options.term, reason })
+        onDidChangeReachability: (reachable, reason) => logger.info(reachable ? 'submissions can be read again' : 'submissions cannot be read', { term: options.term, reason })
       },
       random, now
     )))
@@ -136,7 +136,7 @@
     const unfinished = [...this.scheduler.jobs.values()].filter(job => !job.isFinal)
     const restored = unfinished.filter(job => progress.has(job.identity)).length
     this.logger.info('acting as scheduler', { term: this.options.term, count: this.scheduler.jobs.size, reason: `${unfinished.length} jobs are not finished, ${restored} of them have recorded progress`, durationMilliseconds: Math.round(this.now() - this.startedAt) })
-    this.metrics.takeover(this.now() - this.startedAt)
+    this.metrics.takeoverCompleted(this.now() - this.startedAt)
     this.runRounds()
     this.requestRound()
   }
@@ -214,7 +214,7 @@
 
   /** Returns the time since the last read of the partition that was read longest ago, in milliseconds. */
   private submissionsAge (): number {
-    return this.now() - Math.min(...this.submissionFollowers.map(follower => follower.currentAsOf ?? -Infinity))
+    return this.now() - Math.min(...this.submissionFollowers.map(follower => follower.lastReadStartedAt ?? -Infinity))
   }
 
   private applyBufferedSubmissions (progress: ReadonlyMap<string, ProgressRecord>): void {
@@ -249,7 +249,7 @@
   }
 
   private async loadSubmissions (follower: TopicFollower): Promise<void> {
-    while (!this.isDisposed && !await follower.load()) await delay(TICK_MILLISECONDS, this.abort.signal)
+    while (!this.isDisposed && !await follower.loadSnapshot()) await delay(TICK_MILLISECONDS, this.abort.signal)
   }
 
   private onSubmissions (batch: SubmissionBatch): void {
@@ -358,7 +358,7 @@
       this.requestRound()
       return
     }
-    this.metrics.recorded(this.now() - startedAt)
+    this.metrics.progressRecorded(this.now() - startedAt)
     this.unrecordedEnds -= endCount
     jobs.forEach((job, index) => this.scheduler.onRecorded(job, states[index] as JobState))
     this.acknowledgeEnds(ends)
@@ -379,7 +379,7 @@
       // A new process of the worker numbers its ends from 1 again.
       if (bornAt !== worker.processStartedAt) continue
       worker.recordedEnd = number
-      this.sessions.get(worker.identity)?.onRecorded()
+      this.sessions.get(worker.identity)?.onEndsRecorded()
     }
   }
 
@@ -394,7 +394,7 @@
     this.logger.info('run ordered', { task: task.name, count: run, worker: worker.identity })
     const outcome = await session.start({ task: task.name, run, specification: task.step.job.submission.job.specification, checkpoint: task.checkpoint, ticket })
     if (this.isDisposed) return
-    this.metrics.startOrdered(outcome.kind, this.now() - sentAt)
+    this.metrics.startCommandCompleted(outcome.kind, this.now() - sentAt)
     if (outcome.kind !== 'done') this.logger.info('start was not confirmed', { task: task.name, count: run, worker: worker.identity, code: outcome.kind, reason: 'reason' in outcome ? outcome.reason : undefined })
     switch (outcome.kind) {
       case 'done':
@@ -416,7 +416,7 @@
 
   /** Determines whether a start without a response was executed; if not, stops the run so that the command cannot be executed later. */
   private async resolveUncertainStart (session: WorkerSession, task: Task, run: number): Promise<void> {
-    await session.lookNow()
+    await session.pollOnce()
     if (task.phase === 'uncertain' && task.run === run) await session.stop(task.name, run)
   }
 }
--- a/test/fakes/fakeCluster.ts
+++ b/test/fakes/fakeCluster.ts
@@ -4,7 +4,7 @@
 import { ClusterMetrics } from '../../src/cluster/clusterMetrics.js'
 import { RecordLog, TOPICS, type AppendOptions, type AppendOutcome, type KeyedRecord, type ReadOutcome, type SnapshotOutcome } from '../../src/cluster/recordLog.js'
 import { cancelKey, SUBMISSION_PARTITIONS } from '../../src/cluster/submissions.js'
-import { WorkerPort, type EndKind, type EndReport, type LookOrder, type LookOutcome, type OrderOutcome, type StartOrder, type WorkerAddress } from '../../src/cluster/workerPort.js'
+import { WorkerPort, type EndKind, type EndReport, type PollRequest, type PollOutcome, type CommandOutcome, type StartCommand, type WorkerAddress } from '../../src/cluster/workerPort.js'
 import type { ClusterConfiguration } from '../../src/contracts/clusterConfiguration.js'
 import { encodeRecord } from '../../src/contracts/clusterRecords.js'
 import { stepJobSchema, type StepJob } from '../../src/contracts/stepJob.js'
@@ -104,9 +104,9 @@
     super()
   }
 
-  override async look ({ identity }: WorkerAddress, order: LookOrder): Promise<LookOutcome> {
+  override async poll ({ identity }: WorkerAddress, order: PollRequest): Promise<PollOutcome> {
     const sent = this.isStillConnected(identity) ? order : { ...order, acknowledgedEnd: 0 }
-    const outcome = await this.call<LookOutcome>(identity, async worker => await worker.look(sent), LOOK_SLACK_MILLISECONDS + order.waitMilliseconds, { kind: 'failed', reason: 'timed out' })
+    const outcome = await this.call<PollOutcome>(identity, async worker => await worker.look(sent), LOOK_SLACK_MILLISECONDS + order.waitMilliseconds, { kind: 'failed', reason: 'timed out' })
     if (order.isInSequence && outcome.kind === 'report') this.connectedTo.set(identity, outcome.report.bornAt)
     return outcome
   }
@@ -116,12 +116,12 @@
     return this.connectedTo.get(identity) === this.workers.get(identity)?.bornAt
   }
 
-  override async start ({ identity }: WorkerAddress, order: StartOrder): Promise<OrderOutcome> {
-    return await this.call<OrderOutcome>(identity, async worker => await worker.start(order), ORDER_TIMEOUT_MILLISECONDS, { kind: 'unknown', reason: 'timed out' })
+  override async start ({ identity }: WorkerAddress, order: StartCommand): Promise<CommandOutcome> {
+    return await this.call<CommandOutcome>(identity, async worker => await worker.start(order), ORDER_TIMEOUT_MILLISECONDS, { kind: 'unknown', reason: 'timed out' })
   }
 
-  override async stop ({ identity }: WorkerAddress, task: string, run: number, term: number): Promise<OrderOutcome> {
-    return await this.call<OrderOutcome>(identity, async worker => await worker.stop(task, run, term), ORDER_TIMEOUT_MILLISECONDS, { kind: 'unknown', reason: 'timed out' })
+  override async stop ({ identity }: WorkerAddress, task: string, run: number, term: number): Promise<CommandOutcome> {
+    return await this.call<CommandOutcome>(identity, async worker => await worker.stop(task, run, term), ORDER_TIMEOUT_MILLISECONDS, { kind: 'unknown', reason: 'timed out' })
   }
 
   private async call<T> (identity: string, carryOut: (worker: FakeWorker) => Promise<T>, timeoutMilliseconds: number, onTimeout: T): Promise<T> {
--- a/test/platform/callerServer.test.ts
+++ b/test/platform/callerServer.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test'
 import { CallerServer, type CallerServices } from '../../platform/callerServer.js'
 import { ClusterMetrics } from '../../src/cluster/clusterMetrics.js'
-import type { SubmitAnswer } from '../../src/cluster/jobFront.js'
+import type { SubmitResult } from '../../src/cluster/jobService.js'
 import { RawCaller, untilTrue } from '../fakes/rawCaller.js'
 
 const GRACE_MILLISECONDS = 20_000
@@ -28,11 +28,11 @@
         queues: [{ name: 'queue', host: 'h', routePrefix: '/q/', pool: 'pool', priority: 0, attempts: 2, stretch: 2, targetMilliseconds: 500, eligibility: { decisionMilliseconds: 1, perWorkerMilliseconds: 0, ticketMilliseconds: 2000 } }],
         maximumBodyBytes: 10_000
       },
-      front: {
-        submit: async () => await new Promise<SubmitAnswer>(resolve => { this.stored.push(() => resolve({ kind: 'accepted' })) }),
-        state: async () => 'pending',
+      jobService: {
+        submit: async () => await new Promise<SubmitResult>(resolve => { this.stored.push(() => resolve({ kind: 'accepted' })) }),
+        getState: async () => 'pending',
         cancel: async () => 'cancelled',
-        waiting: async () => 3
+        countWaitingJobs: async () => 3
       }
     }
     this.server = new CallerServer(services, new ClusterMetrics(), () => performance.now())
