--- a/src/operator/timeLine.ts
+++ b/src/operator/timeLine.ts
@@ -2,7 +2,7 @@
 import { parseJsonLine } from './jsonLine.js'
 
 /** Which events to show; absent fields match everything. */
-export interface TimeLineFilter {
+export interface TimelineFilter {
   readonly job?: string
   readonly request?: string
   readonly worker?: string
@@ -48,7 +48,7 @@
   return faults
 }
 
-export function filterEvents (events: readonly SystemEvent[], filter: TimeLineFilter): SystemEvent[] {
+export function filterEvents (events: readonly SystemEvent[], filter: TimelineFilter): SystemEvent[] {
   return events.filter(event =>
     (filter.job === undefined || event.job === filter.job) &&
     (filter.request === undefined || event.request === filter.request) &&
--- a/test/operator/timeLine.test.ts
+++ b/test/operator/timeLine.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import type { SystemEvent } from '../../src/contracts/events.js'
-import { checkOrder, filterEvents, formatTimeLine, mergeEvents, parseEvents, renderTimeLinePage, type TimeLineFilter } from '../../src/operator/timeLine.js'
+import { checkOrder, filterEvents, formatTimeLine, mergeEvents, parseEvents, renderTimeLinePage, type TimelineFilter } from '../../src/operator/timeLine.js'
 
 function event (process: string, logicalTime: number, kind: SystemEvent['kind'], fields: Partial<SystemEvent> = {}): SystemEvent {
   return { type: 'event', kind, process, incarnation: '1', logicalTime, time: '2026-05-04T13:00:00.000Z', ...fields }
@@ -29,7 +29,7 @@
 ]
 
 /** Each case guards against a filter that shows too much or too little. */
-const FILTERS: ReadonlyArray<{ readonly name: string, readonly filter: TimeLineFilter, readonly expected: readonly number[] }> = [
+const FILTERS: ReadonlyArray<{ readonly name: string, readonly filter: TimelineFilter, readonly expected: readonly number[] }> = [
   { name: 'nothing', filter: {}, expected: [4, 5, 7, 8, 12, 14] },
   { name: 'a request', filter: { request: 'other' }, expected: [] },
   { name: 'a process', filter: { instance: 'executor' }, expected: [7, 8] },
