--- a/src/operator/timeLine.ts
+++ b/src/operator/timeLine.ts
@@ -60,7 +60,7 @@
 }
 
 /** Renders events as text, one a line. */
-export function formatTimeLine (events: readonly SystemEvent[]): string {
+export function formatTimeline (events: readonly SystemEvent[]): string {
   const width = Math.max(0, ...events.map(event => event.process.length))
   return events.map(event => `${String(event.logicalTime).padStart(8)}  ${event.time}  ${event.process.padEnd(width)}  ${event.kind.padEnd(22)}  ${describeFields(event)}`.trimEnd()).join('\n')
 }
--- a/test/operator/timeLine.test.ts
+++ b/test/operator/timeLine.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import type { SystemEvent } from '../../src/contracts/events.js'
-import { checkOrder, filterEvents, formatTimeLine, mergeEvents, parseEvents, renderTimeLinePage, type TimelineFilter } from '../../src/operator/timeLine.js'
+import { checkOrder, filterEvents, formatTimeline, mergeEvents, parseEvents, renderTimeLinePage, type TimelineFilter } from '../../src/operator/timeLine.js'
 
 function event (process: string, logicalTime: number, kind: SystemEvent['kind'], fields: Partial<SystemEvent> = {}): SystemEvent {
   return { type: 'event', kind, process, incarnation: '1', logicalTime, time: '2026-05-04T13:00:00.000Z', ...fields }
@@ -65,7 +65,7 @@
 
   it('shows a request from acceptance to end over three processes, in text and page', () => {
     const kinds = ['requestAccepted', 'requestDispatched', 'executorStarted', 'executorEnded', 'requestAnswered', 'callerAnswered']
-    const lines = formatTimeLine(mergeEvents(REQUEST)).split('\n')
+    const lines = formatTimeline(mergeEvents(REQUEST)).split('\n')
     assert.deepEqual(lines.map(line => kinds.find(kind => line.includes(kind))), kinds)
     const page = renderTimeLinePage(mergeEvents(REQUEST))
     for (const name of ['entry', 'executor', 'load']) assert.ok(page.includes(`<th>${name}</th>`))
