--- a/src/operator/timeLine.ts
+++ b/src/operator/timeLine.ts
@@ -66,7 +66,7 @@
 }
 
 /** Renders events as an HTML page with a column for each process. The page loads nothing else. */
-export function renderTimeLinePage (events: readonly SystemEvent[]): string {
+export function renderTimelinePage (events: readonly SystemEvent[]): string {
   const processes = [...new Set(events.map(event => event.process))].sort(compareTexts)
   const head = processes.map(name => `<th>${escapeHtml(name)}</th>`).join('')
   const rows = events.map(event => {
--- a/test/operator/timeLine.test.ts
+++ b/test/operator/timeLine.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import type { SystemEvent } from '../../src/contracts/events.js'
-import { checkOrder, filterEvents, formatTimeline, mergeEvents, parseEvents, renderTimeLinePage, type TimelineFilter } from '../../src/operator/timeLine.js'
+import { checkOrder, filterEvents, formatTimeline, mergeEvents, parseEvents, renderTimelinePage, type TimelineFilter } from '../../src/operator/timeLine.js'
 
 function event (process: string, logicalTime: number, kind: SystemEvent['kind'], fields: Partial<SystemEvent> = {}): SystemEvent {
   return { type: 'event', kind, process, incarnation: '1', logicalTime, time: '2026-05-04T13:00:00.000Z', ...fields }
@@ -67,12 +67,12 @@
     const kinds = ['requestAccepted', 'requestDispatched', 'executorStarted', 'executorEnded', 'requestAnswered', 'callerAnswered']
     const lines = formatTimeline(mergeEvents(REQUEST)).split('\n')
     assert.deepEqual(lines.map(line => kinds.find(kind => line.includes(kind))), kinds)
-    const page = renderTimeLinePage(mergeEvents(REQUEST))
+    const page = renderTimelinePage(mergeEvents(REQUEST))
     for (const name of ['entry', 'executor', 'load']) assert.ok(page.includes(`<th>${name}</th>`))
   })
 
   it('escapes what it shows and loads nothing', () => {
-    const page = renderTimeLinePage([event('<b>"x\'&', 1, 'linkOpened', { detail: '</td><script>alert(1)</script>' })])
+    const page = renderTimelinePage([event('<b>"x\'&', 1, 'linkOpened', { detail: '</td><script>alert(1)</script>' })])
     assert.ok(!page.includes('<script') && !page.includes('<b>"x'))
     assert.doesNotMatch(page, /(src|href)=|url\(|@import/)
   })
