--- a/src/operator/timeLine.ts
+++ b/src/operator/timeLine.ts
@@ -35,7 +35,7 @@
  * a process whose logical time does not grow, or an effect that does not come after its cause in another process,
  * which means that a message between them did not carry the logical time.
  */
-export function checkOrder (events: readonly SystemEvent[]): string[] {
+export function checkCausalOrder (events: readonly SystemEvent[]): string[] {
   const faults: string[] = []
   const last = new Map<string, number>()
   for (const { process, incarnation, logicalTime, kind } of events) {
--- a/src/programs/vanillaturn.ts
+++ b/src/programs/vanillaturn.ts
@@ -5,7 +5,7 @@
 import { OperatorClient, type InstanceAnswer, type PublishResult } from '../operator/operatorClient.js'
 import { explainHistory, formatHistory, parseLog, selectHistory } from '../operator/jobHistory.js'
 import { assessStatus, formatStatus } from '../operator/statusReport.js'
-import { checkOrder, filterEvents, formatTimeline, mergeEvents, parseEvents, renderTimelinePage } from '../operator/timeLine.js'
+import { checkCausalOrder, filterEvents, formatTimeline, mergeEvents, parseEvents, renderTimelinePage } from '../operator/timeLine.js'
 import { checkOptions, EXIT_FAILURE, readSettings, readSiteText, readText, runCommandLine, textOption, UsageError, wholeNumberOption, writeLine, writeText } from './commandLine.js'
 import { operatorSettingsSchema } from '../contracts/settings.js'
 
@@ -182,7 +182,7 @@
     const events = filterEvents(mergeEvents(all), { ...filter, sinceMilliseconds: since, untilMilliseconds: until })
     if (html !== undefined) writeText(html, renderTimelinePage(events))
     else if (events.length > 0) writeLine(formatTimeline(events))
-    const faults = checkOrder(all)
+    const faults = checkCausalOrder(all)
     for (const fault of faults) process.stderr.write(`vanillaturn: the order is not causal: ${fault}\n`)
     if (faults.length > 0) process.exitCode = EXIT_FAILURE
   })
--- a/test/operator/timeLine.test.ts
+++ b/test/operator/timeLine.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import type { SystemEvent } from '../../src/contracts/events.js'
-import { checkOrder, filterEvents, formatTimeline, mergeEvents, parseEvents, renderTimelinePage, type TimelineFilter } from '../../src/operator/timeLine.js'
+import { checkCausalOrder, filterEvents, formatTimeline, mergeEvents, parseEvents, renderTimelinePage, type TimelineFilter } from '../../src/operator/timeLine.js'
 
 function event (process: string, logicalTime: number, kind: SystemEvent['kind'], fields: Partial<SystemEvent> = {}): SystemEvent {
   return { type: 'event', kind, process, incarnation: '1', logicalTime, time: '2026-05-04T13:00:00.000Z', ...fields }
@@ -41,7 +41,7 @@
 describe('the time line', () => {
   for (const { name, events, expected } of ORDERS) {
     it(`checks ${name}`, () => {
-      const faults = checkOrder(events)
+      const faults = checkCausalOrder(events)
       assert.equal(faults.length, expected.length, faults.join('\n'))
       for (const [index, pattern] of expected.entries()) assert.match(faults[index] as string, pattern)
     })
--- a/test/programs/embeddedSite.test.ts
+++ b/test/programs/embeddedSite.test.ts
@@ -6,7 +6,7 @@
 import type { SystemEvent } from '../../src/contracts/events.js'
 import { checkSiteText } from '../../src/contracts/siteText.js'
 import { scenarioSchema } from '../../src/load/scenario.js'
-import { checkOrder, filterEvents, mergeEvents, parseEvents } from '../../src/operator/timeLine.js'
+import { checkCausalOrder, filterEvents, mergeEvents, parseEvents } from '../../src/operator/timeLine.js'
 import { EmbeddedSite } from '../../src/programs/embeddedSite.js'
 
 /** Time after the stop in which a call that was under way would fail and be logged. */
@@ -50,7 +50,7 @@
     await setTimeout(QUIET_MILLISECONDS)
     assert.deepEqual(lines.slice(linesAtStop), [], 'nothing is logged after the stop')
     const written = parseEvents(lines)
-    assert.deepEqual(checkOrder(written), [])
+    assert.deepEqual(checkCausalOrder(written), [])
     const events = mergeEvents(written)
     const request = events.find(event => event.kind === 'callerAnswered')?.request
     const job = events.find(event => event.kind === 'jobSubmitted')?.job
