--- a/src/programs/vanillaturn.ts
+++ b/src/programs/vanillaturn.ts
@@ -5,7 +5,7 @@
 import { OperatorClient, type InstanceAnswer, type PublishResult } from '../operator/operatorClient.js'
 import { explainHistory, formatHistory, parseLog, selectHistory } from '../operator/jobHistory.js'
 import { assessStatus, formatStatus } from '../operator/statusReport.js'
-import { checkCausalOrder, filterEvents, formatTimeline, mergeEvents, parseEvents, renderTimelinePage } from '../operator/timeLine.js'
+import { checkCausalOrder, filterEvents, formatTimeline, mergeEvents, parseEvents, renderTimelinePage } from '../operator/timeline.js'
 import { checkOptions, EXIT_FAILURE, readSettings, readSiteText, readText, runCommandLine, textOption, UsageError, wholeNumberOption, writeLine, writeText } from './commandLine.js'
 import { operatorSettingsSchema } from '../contracts/settings.js'
 
--- a/test/operator/timeLine.test.ts
+++ b/test/operator/timeLine.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import type { SystemEvent } from '../../src/contracts/events.js'
-import { checkCausalOrder, filterEvents, formatTimeline, mergeEvents, parseEvents, renderTimelinePage, type TimelineFilter } from '../../src/operator/timeLine.js'
+import { checkCausalOrder, filterEvents, formatTimeline, mergeEvents, parseEvents, renderTimelinePage, type TimelineFilter } from '../../src/operator/timeline.js'
 
 function event (process: string, logicalTime: number, kind: SystemEvent['kind'], fields: Partial<SystemEvent> = {}): SystemEvent {
   return { type: 'event', kind, process, incarnation: '1', logicalTime, time: '2026-05-04T13:00:00.000Z', ...fields }
--- a/test/programs/embeddedSite.test.ts
+++ b/test/programs/embeddedSite.test.ts
@@ -6,7 +6,7 @@
 import type { SystemEvent } from '../../src/contracts/events.js'
 import { checkSiteText } from '../../src/contracts/siteText.js'
 import { scenarioSchema } from '../../src/load/scenario.js'
-import { checkCausalOrder, filterEvents, mergeEvents, parseEvents } from '../../src/operator/timeLine.js'
+import { checkCausalOrder, filterEvents, mergeEvents, parseEvents } from '../../src/operator/timeline.js'
 import { EmbeddedSite } from '../../src/programs/embeddedSite.js'
 
 /** Time after the stop in which a call that was under way would fail and be logged. */
