--- a/src/operator/operatorClient.ts
+++ b/src/operator/operatorClient.ts
@@ -18,7 +18,7 @@
 export type PublishResult = PublishOutcome | { readonly kind: 'notSent' | 'unknown', readonly reason: string }
 
 /** Answer of one entry instance; `body` is undefined and `reason` says why if there is none. */
-export interface InstanceAnswer {
+export interface InstanceResponse {
   readonly address: string
   readonly status: number
   readonly body: Record<string, unknown> | undefined
@@ -65,7 +65,7 @@
   }
 
   /** Asks every entry instance. */
-  async askAll (path: string): Promise<InstanceAnswer[]> {
+  async askAll (path: string): Promise<InstanceResponse[]> {
     return await Promise.all(this.entryAddresses.map(async address => {
       try {
         const answer = await request(`${address}${path}`, { headers: { authorization: `Bearer ${this.token}` }, dispatcher: this.agent, headersTimeout: CALL_TIMEOUT_MILLISECONDS, bodyTimeout: CALL_TIMEOUT_MILLISECONDS })
--- a/src/programs/vanillaturn.ts
+++ b/src/programs/vanillaturn.ts
@@ -2,7 +2,7 @@
 import { cac } from 'cac'
 import { z } from 'zod'
 import { EVENT_KINDS } from '../contracts/events.js'
-import { OperatorClient, type InstanceAnswer, type PublishResult } from '../operator/operatorClient.js'
+import { OperatorClient, type InstanceResponse, type PublishResult } from '../operator/operatorClient.js'
 import { explainHistory, formatHistory, parseLog, selectHistory } from '../operator/jobHistory.js'
 import { assessStatus, formatStatus } from '../operator/statusReport.js'
 import { checkCausalOrder, filterEvents, formatTimeline, mergeEvents, parseEvents, renderTimelinePage } from '../operator/timeline.js'
@@ -70,7 +70,7 @@
 }
 
 /** Picks the answers that say most: of a request every one, of a job that of the owner. */
-function chooseExplanations (answers: readonly InstanceAnswer[]): string[] {
+function chooseExplanations (answers: readonly InstanceResponse[]): string[] {
   const known = answers.filter(answer => answer.status === 200).map(answer => answer.body ?? {})
   const requests = known.filter(body => body.subjectKind === 'request')
   if (requests.length > 0) return requests.map(body => `${body.instance}: ${body.explanation}`)
