--- a/src/operator/operatorClient.ts
+++ b/src/operator/operatorClient.ts
@@ -65,7 +65,7 @@
   }
 
   /** Asks every entry instance. */
-  async askAll (path: string): Promise<InstanceResponse[]> {
+  async queryAll (path: string): Promise<InstanceResponse[]> {
     return await Promise.all(this.entryAddresses.map(async address => {
       try {
         const answer = await request(`${address}${path}`, { headers: { authorization: `Bearer ${this.token}` }, dispatcher: this.agent, headersTimeout: CALL_TIMEOUT_MILLISECONDS, bodyTimeout: CALL_TIMEOUT_MILLISECONDS })
@@ -78,7 +78,7 @@
 
   /** Asks every entry instance for its status. */
   async readStatus (): Promise<StatusAnswer[]> {
-    return (await this.askAll('/operator/status')).map(({ address, status, body, reason }) => {
+    return (await this.queryAll('/operator/status')).map(({ address, status, body, reason }) => {
       if (body === undefined) return { address, status: undefined, reason }
       if (status === 401) return { address, status: undefined, reason: 'the operator token is refused' }
       const parsed = instanceStatusSchema.safeParse(body)
--- a/src/programs/vanillaturn.ts
+++ b/src/programs/vanillaturn.ts
@@ -79,7 +79,7 @@
 }
 
 async function explainFromInstances (client: OperatorClient, subject: string): Promise<void> {
-  const answers = await client.askAll(`/operator/explain/${encodeURIComponent(subject)}`)
+  const answers = await client.queryAll(`/operator/explain/${encodeURIComponent(subject)}`)
   const explanations = chooseExplanations(answers)
   for (const line of explanations) writeLine(line)
   if (explanations.length > 0) return
