--- a/src/operator/operatorClient.ts
+++ b/src/operator/operatorClient.ts
@@ -87,7 +87,7 @@
   }
 
   /** Waits up to `waitMilliseconds` until every instance that can be reached has `revision` in force; returns the last answers. */
-  async waitInForce (revision: number, waitMilliseconds: number): Promise<StatusAnswer[]> {
+  async waitUntilInForce (revision: number, waitMilliseconds: number): Promise<StatusAnswer[]> {
     const deadline = performance.now() + waitMilliseconds
     for (;;) {
       const answers = await this.readStatus()
--- a/src/programs/vanillaturn.ts
+++ b/src/programs/vanillaturn.ts
@@ -120,7 +120,7 @@
         return
       }
       if (options.wait === 0) return
-      const answers = await client.waitInForce(result.revision, options.wait * 1000)
+      const answers = await client.waitUntilInForce(result.revision, options.wait * 1000)
       const reached = answers.flatMap(answer => answer.status ?? [])
       const behind = reached.filter(status => status.revision < result.revision)
       for (const { address, status, reason } of answers) {
