--- a/src/operator/operatorClient.ts
+++ b/src/operator/operatorClient.ts
@@ -26,7 +26,7 @@
 }
 
 /** A site text by its revision. Revision 0 has no text. */
-export interface PublishedText {
+export interface PublishedConfiguration {
   readonly revision: number
   readonly source: string
 }
@@ -58,7 +58,7 @@
   }
 
   /** Reads the text that the log has decided, or that of an earlier revision; undefined if the log no longer keeps that revision. Throws `LogUnavailableError`. */
-  async readConfiguration (revision?: number): Promise<PublishedText | undefined> {
+  async readConfiguration (revision?: number): Promise<PublishedConfiguration | undefined> {
     const { history, texts } = await this.readHistory('')
     if (revision !== undefined) return texts.get(revision)
     return { revision: history.inForce?.revision ?? 0, source: history.inForce?.source ?? '' }
@@ -119,9 +119,9 @@
     return { reason: `the platform's log at ${this.platformAddress} has not confirmed the record: ${reason}`, sent }
   }
 
-  private async readHistory (identity: string): Promise<{ history: ConfigurationHistory, outcome: PublishOutcome | undefined, texts: ReadonlyMap<number, PublishedText> }> {
+  private async readHistory (identity: string): Promise<{ history: ConfigurationHistory, outcome: PublishOutcome | undefined, texts: ReadonlyMap<number, PublishedConfiguration> }> {
     const history = new ConfigurationHistory()
-    const texts = new Map<number, PublishedText>()
+    const texts = new Map<number, PublishedConfiguration>()
     const seen = new Set<string>()
     let outcome: PublishOutcome | undefined
     for (let from = 0; ;) {
