--- a/src/operator/operatorClient.ts
+++ b/src/operator/operatorClient.ts
@@ -6,7 +6,7 @@
 import { RECORD_SCHEMA_VERSION, CONFIGURATION_STREAM, recordBodySchema, type RecordEnvelope, type StoredRecord } from '../contracts/records.js'
 import { AppendRefusedError, HttpPlatformLog } from '../links/platformLog.js'
 import { ConfigurationHistory, type PublishOutcome } from '../zones/configurationHistory.js'
-import { instanceStatusSchema, type StatusAnswer } from './statusReport.js'
+import { instanceStatusSchema, type StatusResponse } from './statusReport.js'
 
 const READ_LIMIT = 500
 const APPEND_ATTEMPTS = 10
@@ -77,7 +77,7 @@
   }
 
   /** Asks every entry instance for its status. */
-  async readStatus (): Promise<StatusAnswer[]> {
+  async readStatus (): Promise<StatusResponse[]> {
     return (await this.queryAll('/operator/status')).map(({ address, status, body, reason }) => {
       if (body === undefined) return { address, status: undefined, reason }
       if (status === 401) return { address, status: undefined, reason: 'the operator token is refused' }
@@ -87,7 +87,7 @@
   }
 
   /** Waits up to `waitMilliseconds` until every instance that can be reached has `revision` in force; returns the last answers. */
-  async waitUntilInForce (revision: number, waitMilliseconds: number): Promise<StatusAnswer[]> {
+  async waitUntilInForce (revision: number, waitMilliseconds: number): Promise<StatusResponse[]> {
     const deadline = performance.now() + waitMilliseconds
     for (;;) {
       const answers = await this.readStatus()
--- a/src/operator/statusReport.ts
+++ b/src/operator/statusReport.ts
@@ -23,7 +23,7 @@
 export type InstanceStatus = z.infer<typeof instanceStatusSchema>
 
 /** What one entry instance answered; `status` is undefined if it could not be reached or refused. */
-export interface StatusAnswer {
+export interface StatusResponse {
   readonly address: string
   readonly status: InstanceStatus | undefined
   /** Why there is no status. */
@@ -33,7 +33,7 @@
 /** State of all entry instances and what is wrong with it. */
 export interface SiteStatus {
   readonly newestRevision: number
-  readonly answers: readonly StatusAnswer[]
+  readonly answers: readonly StatusResponse[]
   /** One line for each problem; empty if all is well. */
   readonly problems: readonly string[]
 }
@@ -42,7 +42,7 @@
 const STALE_LIST_MILLISECONDS = 10_000
 
 /** Judges the answers of all instances. `decidedRevision` is what the log has decided, undefined if the log is away. */
-export function assessStatus (answers: readonly StatusAnswer[], decidedRevision: number | undefined): SiteStatus {
+export function assessStatus (answers: readonly StatusResponse[], decidedRevision: number | undefined): SiteStatus {
   const known = answers.flatMap(answer => answer.status ?? [])
   const newestRevision = Math.max(0, decidedRevision ?? 0, ...known.map(status => status.revision))
   const problems: string[] = []
--- a/test/operator/statusReport.test.ts
+++ b/test/operator/statusReport.test.ts
@@ -1,17 +1,17 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import { assessStatus, formatStatus, type InstanceStatus, type StatusAnswer } from '../../src/operator/statusReport.js'
+import { assessStatus, formatStatus, type InstanceStatus, type StatusResponse } from '../../src/operator/statusReport.js'
 
 const CAPACITY = { processorsThousandths: 100_000, memoryBytes: 1e12, accelerators: 4 }
 
-function answer (instance: string, fields: Partial<InstanceStatus> = {}): StatusAnswer {
+function answer (instance: string, fields: Partial<InstanceStatus> = {}): StatusResponse {
   const isOwner = instance === 'a-1'
   const status: InstanceStatus = { instance, failureDomain: 'a', revision: 3, ready: true, owner: 'a-1', term: 2, isOwner, activeRequests: 0, openJobs: 0, instanceListAgeMilliseconds: 400, allowedCapacityPercent: 60, ...isOwner ? { used: { ...CAPACITY, processorsThousandths: 50_000 }, capacity: CAPACITY } : {}, ...fields }
   return { address: `http://${instance}`, status }
 }
 
 /** Each case guards against a state that is reported as well, or a healthy one that is not. */
-const CASES: ReadonlyArray<{ readonly name: string, readonly answers: readonly StatusAnswer[], readonly decided?: number | null, readonly expected: readonly RegExp[] }> = [
+const CASES: ReadonlyArray<{ readonly name: string, readonly answers: readonly StatusResponse[], readonly decided?: number | null, readonly expected: readonly RegExp[] }> = [
   { name: 'all well', answers: [answer('a-1'), answer('a-2')], expected: [] },
   { name: 'an instance that lags', answers: [answer('a-1'), answer('a-2', { revision: 2 })], expected: [/a-2: has revision 2, the newest is 3/] },
   { name: 'all instances behind the log', answers: [answer('a-1')], decided: 4, expected: [/a-1: has revision 3, the newest is 4/] },
