--- a/src/operator/statusReport.ts
+++ b/src/operator/statusReport.ts
@@ -33,7 +33,7 @@
 /** State of all entry instances and what is wrong with it. */
 export interface SiteStatus {
   readonly newestRevision: number
-  readonly answers: readonly StatusResponse[]
+  readonly responses: readonly StatusResponse[]
   /** One line for each problem; empty if all is well. */
   readonly problems: readonly string[]
 }
@@ -59,14 +59,14 @@
     else if (age > STALE_LIST_MILLISECONDS) problems.push(`${instance}: its instance list is ${Math.round(age / 1000)} s old`)
   }
   for (const [failureDomain, members] of groupByDomain(known)) problems.push(...domainProblems(failureDomain, members))
-  return { newestRevision, answers, problems }
+  return { newestRevision, responses: answers, problems }
 }
 
 /** Renders the state of all instances and of their failure domains as plain tables, followed by the problems. */
 export function formatStatus (site: SiteStatus): string {
   const style = { head: [], border: [] }
   const instances = new Table({ head: ['instance', 'failure domain', 'revision', 'ready', 'instance list age s', 'active requests', 'open jobs'], style })
-  for (const { address, status, reason } of site.answers) {
+  for (const { address, status, reason } of site.responses) {
     if (status === undefined) {
       instances.push([address, reason ?? 'unreachable', '', '', '', '', ''])
       continue
@@ -76,7 +76,7 @@
     instances.push([status.instance, status.failureDomain, lag > 0 ? `${status.revision} (${lag} behind)` : String(status.revision), status.ready ? 'yes' : 'no', age, String(status.activeRequests), String(status.openJobs)])
   }
   const domains = new Table({ head: ['failure domain', 'owner', 'term', 'processors used', 'allowed', 'memory used', 'accelerators used'], style })
-  const known = site.answers.flatMap(answer => answer.status ?? [])
+  const known = site.responses.flatMap(answer => answer.status ?? [])
   for (const [failureDomain, members] of groupByDomain(known)) {
     const owner = members.find(status => status.isOwner)
     const term = Math.max(...members.map(status => status.term))
