--- a/test/platform/adapter.test.ts
+++ b/test/platform/adapter.test.ts
@@ -11,18 +11,18 @@
 import { parsePlatformSettings } from '../../platform/settings.js'
 import { PlatformEligibilityClient, PlatformWorkerClient } from '../../platform/workerClient.js'
 
-type Answer = (request: IncomingMessage, body: Buffer, response: ServerResponse) => void
+type Responder = (request: IncomingMessage, body: Buffer, response: ServerResponse) => void
 
 let server: Server
 let address: string
-let answer: Answer = () => {}
+let respond: Responder = () => {}
 const http = new HttpCaller(4)
 
 before(async () => {
   server = createServer((request, response) => {
     const chunks: Buffer[] = []
     request.on('data', chunk => chunks.push(chunk))
-    request.on('end', () => answer(request, Buffer.concat(chunks), response))
+    request.on('end', () => respond(request, Buffer.concat(chunks), response))
   })
   await new Promise<void>(resolve => server.listen(0, '127.0.0.1', () => resolve()))
   address = `127.0.0.1:${(server.address() as AddressInfo).port}`
@@ -34,7 +34,7 @@
   server.close()
 })
 
-function json (status: number, value: object): Answer {
+function json (status: number, value: object): Responder {
   return (_request, _body, response) => response.writeHead(status, { 'content-type': 'application/json' }).end(JSON.stringify(value))
 }
 
@@ -45,32 +45,32 @@
 }
 
 describe('PlatformLogClient', () => {
-  /** What an answer to an append says about the records: only refusals that did nothing count as refused. */
-  const APPENDS: ReadonlyArray<{ readonly name: string, readonly answer: Answer, readonly outcome: object }> = [
-    { name: 'stored', answer: json(200, { offset: 3, end: 4 }), outcome: { kind: 'stored', end: 4 } },
-    { name: 'at another offset', answer: json(412, { end: 9 }), outcome: { kind: 'conflict', end: 9 } },
-    { name: 'fenced', answer: json(409, { reason: 'fenced' }), outcome: { kind: 'fenced' } },
-    { name: 'out of sequence', answer: json(409, { reason: 'seq', sequence: 7 }), outcome: { kind: 'outOfSequence', expected: 7 } },
-    { name: 'busy', answer: json(503, {}), outcome: { kind: 'refused', reason: 'status 503' } },
-    { name: 'over the rate', answer: json(429, {}), outcome: { kind: 'refused', reason: 'status 429' } },
-    { name: 'full', answer: json(507, {}), outcome: { kind: 'refused', reason: 'status 507' } },
-    { name: 'behind a gateway', answer: json(504, {}), outcome: { kind: 'unknown', reason: 'status 504' } }
+  /** Responses to an append and their outcomes. Only a refusal that certainly stored nothing counts as refused. */
+  const APPENDS: ReadonlyArray<{ readonly name: string, readonly responder: Responder, readonly outcome: object }> = [
+    { name: 'stored', responder: json(200, { offset: 3, end: 4 }), outcome: { kind: 'stored', end: 4 } },
+    { name: 'sent for another offset', responder: json(412, { end: 9 }), outcome: { kind: 'conflict', end: 9 } },
+    { name: 'fenced', responder: json(409, { reason: 'fenced' }), outcome: { kind: 'fenced' } },
+    { name: 'out of sequence', responder: json(409, { reason: 'seq', sequence: 7 }), outcome: { kind: 'outOfSequence', expected: 7 } },
+    { name: 'refused by a busy log', responder: json(503, {}), outcome: { kind: 'refused', reason: 'status 503' } },
+    { name: 'over the rate limit', responder: json(429, {}), outcome: { kind: 'refused', reason: 'status 429' } },
+    { name: 'refused by a full log', responder: json(507, {}), outcome: { kind: 'refused', reason: 'status 507' } },
+    { name: 'timed out at a gateway', responder: json(504, {}), outcome: { kind: 'unknown', reason: 'status 504' } }
   ]
-  for (const { name, answer: given, outcome } of APPENDS) {
+  for (const { name, responder, outcome } of APPENDS) {
     it(`decodes an append that is ${name}`, async () => {
-      answer = given
+      respond = responder
       assert.deepEqual(await new PlatformLogClient(address, http).append('keyed.t', 0, [{ key: 'k', value: Buffer.from('v') }]), outcome)
     })
   }
 
-  it('does not say that an append was refused when its connection was reset', async () => {
-    answer = (_request, _body, response) => response.socket?.resetAndDestroy()
+  it('returns an unknown outcome for an append whose connection was reset', async () => {
+    respond = (_request, _body, response) => response.socket?.resetAndDestroy()
     assert.equal((await new PlatformLogClient(address, http).append('keyed.t', 0, [])).kind, 'unknown')
   })
 
   it('encodes keyed records and the fenced writer', async () => {
     let seen: { url: string, body: Buffer } | undefined
-    answer = (request, body, response) => {
+    respond = (request, body, response) => {
       seen = { url: String(request.url), body }
       response.end('{}')
     }
@@ -79,19 +79,19 @@
     assert.deepEqual(seen?.body, Buffer.concat([bigEndian(4, 4), Buffer.from('\x02abv'), bigEndian(4, 2), Buffer.from('\x01c')]))
   })
 
-  it('decodes the records of a read, with offsets, removals and without a last one that is cut short', async () => {
-    answer = (_request, _body, response) => response.end(Buffer.concat([bigEndian(8, 12), bigEndian(8, 0), bigEndian(4, 4), Buffer.from('\x02abv'), bigEndian(4, 2), Buffer.from('\x01c'), bigEndian(4, 9), Buffer.from('\x01')]))
+  it('decodes the records of a read with offsets and removed keys, and ignores a truncated last record', async () => {
+    respond = (_request, _body, response) => response.end(Buffer.concat([bigEndian(8, 12), bigEndian(8, 0), bigEndian(4, 4), Buffer.from('\x02abv'), bigEndian(4, 2), Buffer.from('\x01c'), bigEndian(4, 9), Buffer.from('\x01')]))
     const outcome = await new PlatformLogClient(address, http).read('keyed.t', 0, 10, 0)
     assert.deepEqual(outcome, { kind: 'records', next: 12, records: [{ key: 'ab', value: Buffer.from('v'), offset: 10 }, { key: 'c', value: undefined, offset: 11 }] })
   })
 
-  it('tells that records have expired', async () => {
-    answer = json(410, { first: 40 })
+  it('reports expired records', async () => {
+    respond = json(410, { first: 40 })
     assert.deepEqual(await new PlatformLogClient(address, http).read('keyed.t', 0, 10, 0), { kind: 'expired', first: 40 })
   })
 
-  it('reads a snapshot page by page and follows from the end of the first page', async () => {
-    answer = (request, _body, response) => {
+  it('reads a snapshot page by page and returns the end offset of the first page', async () => {
+    respond = (request, _body, response) => {
       const second = String(request.url).includes('after=a')
       const item = (key: string, offset: number): object => ({ key, value: Buffer.from(key).toString('base64'), offset })
       response.end(JSON.stringify(second ? { items: [item('b', 5)], more: false, end: 9 } : { items: [item('a', 1)], more: true, end: 6 }))
@@ -100,32 +100,32 @@
     assert.deepEqual(outcome, { kind: 'snapshot', end: 6, records: [{ key: 'a', value: Buffer.from('a'), offset: 1 }, { key: 'b', value: Buffer.from('b'), offset: 5 }] })
   })
 
-  /** What a snapshot lacks counts as not recorded, and would be run again. */
+  /** Records missing from a snapshot count as never written, so their tasks would run again. */
   const PAGES: ReadonlyArray<{ readonly name: string, readonly body: string }> = [
-    { name: 'is cut short', body: '{"items":[{"key":"b","val' },
+    { name: 'is truncated', body: '{"items":[{"key":"b","val' },
     { name: 'holds no items', body: '{}' }
   ]
   for (const { name, body } of PAGES) {
-    it(`does not take a page that ${name} for the end of a snapshot`, async () => {
-      answer = (request, _body, response) => response.end(String(request.url).includes('after=a') ? body : JSON.stringify({ items: [{ key: 'a', value: '', offset: 1 }], more: true, end: 6 }))
+    it(`does not take a page that ${name} for the last one of a snapshot`, async () => {
+      respond = (request, _body, response) => response.end(String(request.url).includes('after=a') ? body : JSON.stringify({ items: [{ key: 'a', value: '', offset: 1 }], more: true, end: 6 }))
       assert.equal((await new PlatformLogClient(address, http).snapshot('keyed.t', 0)).kind, 'unavailable')
     })
   }
 })
 
 describe('PlatformLogClient on a slow link', () => {
-  /** Turns of the event loop after which what the server has written has been read. */
+  /** Turns of the event loop after which the client has read what the server wrote. */
   const TURNS_UNTIL_READ = 20
-  /** Time from one part of an answer to the next, in milliseconds; two take longer than any time limit of a call. */
+  /** Time between the parts of a response. Two of these intervals exceed the timeout of any call. */
   const PART_MILLISECONDS = 1500
   const WAIT_MILLISECONDS = 1000
   const PARTS = 3
 
-  /** Sends the answer to a call in parts on the paused clock, as many as are given, and gives the outcome. */
+  /** Runs a call on a fake clock, sends the first `sentParts` parts of its response at intervals, and returns the outcome. */
   async function receiveInParts<T> (call: (log: PlatformLogClient) => Promise<T>, body: Buffer, sentParts: number): Promise<T> {
     const clock = FakeTimers.install({ toFake: ['setTimeout', 'clearTimeout'] })
     try {
-      const responded = new Promise<ServerResponse>(resolve => { answer = (_request, _body, response) => resolve(response) })
+      const responded = new Promise<ServerResponse>(resolve => { respond = (_request, _body, response) => resolve(response) })
       const outcome = call(new PlatformLogClient(address, http))
       const response = await responded
       const size = Math.ceil(body.length / PARTS)
@@ -142,7 +142,7 @@
   }
 
   const record = { key: 'a', value: Buffer.from('a'), offset: 1 }
-  /** An instance whose link takes longer than one time limit for the state in the log would try for ever to take the role over. */
+  /** Guards against an instance on a slow link that can never take over the scheduler role because reading the state in the log exceeds the timeout. */
   const CALLS: ReadonlyArray<{ readonly name: string, readonly call: (log: PlatformLogClient) => Promise<SnapshotOutcome | ReadOutcome>, readonly body: Buffer, readonly outcome: object }> = [
     {
       name: 'a snapshot',
@@ -158,51 +158,51 @@
     }
   ]
   for (const { name, call, body, outcome } of CALLS) {
-    it(`takes ${name} that lasts longer than a time limit as long as bytes arrive`, async () => assert.deepEqual(await receiveInParts(call, body, PARTS), outcome))
-    it(`gives ${name} up when no bytes arrive for a time limit`, async () => assert.equal((await receiveInParts(call, body, 1)).kind, 'unavailable'))
+    it(`continues ${name} beyond its timeout as long as bytes arrive`, async () => assert.deepEqual(await receiveInParts(call, body, PARTS), outcome))
+    it(`abandons ${name} when no bytes arrive for its timeout`, async () => assert.equal((await receiveInParts(call, body, 1)).kind, 'unavailable'))
   }
 })
 
 describe('PlatformWorkerClient', () => {
   const worker = (): { identity: string, address: string } => ({ identity: 'i-1', address })
-  const order = { task: 'a.0.0.1', run: 2, specification: 'text', leaseUntil: 1000.5, term: 7, checkpoint: '', ticket: 't' }
+  const command = { task: 'a.0.0.1', run: 2, specification: 'text', leaseUntil: 1000.5, term: 7, checkpoint: '', ticket: 't' }
 
-  /** What an answer to a start says about the run. */
-  const STARTS: ReadonlyArray<{ readonly name: string, readonly answer: Answer, readonly outcome: object }> = [
-    { name: 'accepted', answer: json(200, { clockMs: 1 }), outcome: { kind: 'done' } },
-    { name: 'of a former term', answer: json(409, { reason: 'fence' }), outcome: { kind: 'fenced' } },
-    { name: 'without room', answer: json(409, { reason: 'room' }), outcome: { kind: 'refused', reason: 'room' } },
-    { name: 'without a valid ticket', answer: json(409, { reason: 'ticket' }), outcome: { kind: 'refused', reason: 'ticket' } },
-    { name: 'refused by an unhealthy worker', answer: json(503, {}), outcome: { kind: 'refused', reason: 'unhealthy' } },
-    { name: 'for another process', answer: json(421, {}), outcome: { kind: 'replaced' } },
-    { name: 'failed in an unknown way', answer: json(500, {}), outcome: { kind: 'unknown', reason: 'status 500' } }
+  /** Responses to a start command and their outcomes. */
+  const STARTS: ReadonlyArray<{ readonly name: string, readonly responder: Responder, readonly outcome: object }> = [
+    { name: 'accepted', responder: json(200, { clockMs: 1 }), outcome: { kind: 'done' } },
+    { name: 'fenced by a greater term', responder: json(409, { reason: 'fence' }), outcome: { kind: 'fenced' } },
+    { name: 'refused for lack of capacity', responder: json(409, { reason: 'room' }), outcome: { kind: 'refused', reason: 'room' } },
+    { name: 'refused for an invalid ticket', responder: json(409, { reason: 'ticket' }), outcome: { kind: 'refused', reason: 'ticket' } },
+    { name: 'refused by an unhealthy worker', responder: json(503, {}), outcome: { kind: 'refused', reason: 'unhealthy' } },
+    { name: 'misdirected to another process', responder: json(421, {}), outcome: { kind: 'replaced' } },
+    { name: 'answered by an internal error', responder: json(500, {}), outcome: { kind: 'unknown', reason: 'status 500' } }
   ]
-  for (const { name, answer: given, outcome } of STARTS) {
+  for (const { name, responder, outcome } of STARTS) {
     it(`decodes a start that is ${name}`, async () => {
-      answer = given
-      assert.deepEqual(await new PlatformWorkerClient(http).start(worker(), order), outcome)
+      respond = responder
+      assert.deepEqual(await new PlatformWorkerClient(http).start(worker(), command), outcome)
     })
   }
 
-  /** A worker that only the progress of a former scheduler names has no address; a rejection would end the process. */
-  it('does not reach a worker without an address', async () => {
+  /** A worker known only from the progress records of a former scheduler has no address; a rejected promise would terminate the process. */
+  it('returns a failure for a worker without an address', async () => {
     const unlisted = { identity: 'i-1', address: '' }
     const outcome = await new PlatformWorkerClient(http).poll(unlisted, { term: 7, acknowledgedEnd: 0, isInSequence: true, waitMilliseconds: 0 })
     assert.equal(outcome.kind, 'failed')
   })
 
-  it('encodes a start in whole milliseconds and names the intended process', async () => {
+  it('encodes a start command in whole milliseconds with the identity of the target process', async () => {
     let seen: unknown
-    answer = (request, body, response) => {
+    respond = (request, body, response) => {
       seen = [request.headers['vanillaturn-target-instance'], JSON.parse(body.toString())]
       response.end('{}')
     }
-    await new PlatformWorkerClient(http).start(worker(), order)
+    await new PlatformWorkerClient(http).start(worker(), command)
     assert.deepEqual(seen, ['i-1', { task: 'a.0.0.1', run: 2, spec: 'text', expiresAtMs: 1000, fence: 7, ticket: 't' }])
   })
 
   it('decodes a report', async () => {
-    answer = json(200, { clockMs: 50, born: 5, running: [['a.0.0.1', 2, 'saved', 41, 300]], ended: [[8, 'a.0.0.2', 1, 'done', ''], [9, 'a.0.0.3', 1, 'unheard', '']] })
+    respond = json(200, { clockMs: 50, born: 5, running: [['a.0.0.1', 2, 'saved', 41, 300]], ended: [[8, 'a.0.0.2', 1, 'done', ''], [9, 'a.0.0.3', 1, 'unheard', '']] })
     assert.deepEqual(await new PlatformWorkerClient(http).poll(worker(), { term: 7, acknowledgedEnd: 0, isInSequence: false, waitMilliseconds: 0 }), {
       kind: 'report',
       acknowledgedEnd: 0,
@@ -210,89 +210,89 @@
     })
   })
 
-  /** Another process under the same identity would take the number for one of its own ends and never report that one. */
+  /** Another process under the same identity would apply the acknowledgement to an end of its own and never report that end. */
   it('acknowledges ends only over the connection that reported them', async () => {
     const seen: unknown[] = []
-    answer = (request, body, response) => {
+    respond = (request, body, response) => {
       seen.push(JSON.parse(body.toString()).seenUpto)
       json(200, { clockMs: 50, born: 5, running: [], ended: [] })(request, body, response)
     }
     const client = new PlatformWorkerClient(http)
-    const look = async (acknowledgedEnd: number, isInSequence = true): Promise<number | string> => {
+    const poll = async (acknowledgedEnd: number, isInSequence = true): Promise<number | string> => {
       const outcome = await client.poll(worker(), { term: 7, acknowledgedEnd, isInSequence, waitMilliseconds: 0 })
       return outcome.kind === 'report' ? outcome.acknowledgedEnd : outcome.kind
     }
-    assert.equal(await look(0), 0)
-    assert.equal(await look(7), 7)
+    assert.equal(await poll(0), 0)
+    assert.equal(await poll(7), 7)
     server.closeAllConnections()
-    // A look beside the sequence opens another connection. It fails until its own closed ones are noticed.
-    while (await look(0, false) === 'failed') assert.ok(seen.length === 2)
-    assert.equal(await look(8), 0)
-    assert.equal(await look(8), 8)
+    // A poll outside the sequence opens another connection. It fails until the client notices that its pooled connections are closed.
+    while (await poll(0, false) === 'failed') assert.ok(seen.length === 2)
+    assert.equal(await poll(8), 0)
+    assert.equal(await poll(8), 8)
     assert.deepEqual(seen, [0, 7, 0, 0, 8])
   })
 
-  /** A worker that has been replaced at its address is noticed by the answer to the next look at it. */
-  it('does not hold a look up behind one that waits at another worker of the same address', async () => {
+  /** The replacement of a worker at its address is detected by the response to the next poll, which must not be delayed. */
+  it('does not block a poll behind a long poll of another worker at the same address', async () => {
     const waiting: Array<() => void> = []
-    answer = (request, body, response) => {
+    respond = (request, body, response) => {
       if (request.headers['vanillaturn-target-instance'] === 'i-2') waiting.push(() => json(200, { clockMs: 50, born: 5, running: [], ended: [] })(request, body, response))
       else json(421, {})(request, body, response)
     }
     const client = new PlatformWorkerClient(http)
-    const look = { term: 7, acknowledgedEnd: 0, isInSequence: true, waitMilliseconds: 0 }
-    const present = client.poll({ identity: 'i-2', address }, { ...look, waitMilliseconds: 20_000 })
+    const request = { term: 7, acknowledgedEnd: 0, isInSequence: true, waitMilliseconds: 0 }
+    const longPoll = client.poll({ identity: 'i-2', address }, { ...request, waitMilliseconds: 20_000 })
     while (waiting.length === 0) await new Promise(resolve => setImmediate(resolve))
-    assert.deepEqual(await client.poll({ identity: 'i-1', address }, look), { kind: 'replaced' })
+    assert.deepEqual(await client.poll({ identity: 'i-1', address }, request), { kind: 'replaced' })
     waiting[0]?.()
-    assert.equal((await present).kind, 'report')
+    assert.equal((await longPoll).kind, 'report')
   })
 
-  it('sends nothing over a new connection where the present one is required and is closed before the call has gone out', async () => {
+  it('sends nothing over a new connection when the call requires the open one and that is closed before the call is sent', async () => {
     let calls = 0
-    answer = (_request, _body, response) => {
+    respond = (_request, _body, response) => {
       calls += 1
       response.end('{}')
     }
     const call = { method: 'POST', path: '/', channel: 'test', timeoutMilliseconds: 1000 } as const
     assert.equal((await http.call(address, call)).kind, 'answer')
     server.closeAllConnections()
-    // The connection has ended, which is not noticed here yet.
+    // The connection is closed, but the client has not noticed it yet.
     assert.notEqual((await http.call(address, { ...call, requiresOpenConnection: true })).kind, 'answer')
     assert.equal(calls, 1)
     assert.equal((await http.call(address, { ...call, requiresOpenConnection: true })).kind, 'notSent')
   })
 
-  it('decodes the workers that the eligibility service names', async () => {
-    answer = json(200, { good: [['i-1', 'ticket']], validMs: 2500 })
+  it('decodes the eligible workers returned by the eligibility service', async () => {
+    respond = json(200, { good: [['i-1', 'ticket']], validMs: 2500 })
     assert.deepEqual(await new PlatformEligibilityClient(address, http).query('a.0.0', ['i-1', 'i-2'], 1000), { kind: 'eligible', workers: [{ worker: 'i-1', ticket: 'ticket' }], validMilliseconds: 2500 })
   })
 })
 
 describe('decodeJob', () => {
   const step = { count: 2, millicpus: 500, memMb: 64, estMs: 900 }
-  /** Bodies that no job can be made of; each gets a reason, and nothing else suffers. */
-  const BAD: ReadonlyArray<{ readonly name: string, readonly body: unknown, readonly reason: RegExp }> = [
-    { name: 'broken JSON', body: '{', reason: /not valid JSON/ },
+  /** Invalid bodies; each is rejected with a reason, and none throws. */
+  const INVALID: ReadonlyArray<{ readonly name: string, readonly body: unknown, readonly reason: RegExp }> = [
+    { name: 'malformed JSON', body: '{', reason: /not valid JSON/ },
     { name: 'a list', body: [], reason: /steps/ },
     { name: 'no steps', body: { spec: '', steps: [] }, reason: /steps/ },
-    { name: 'a step that is no object', body: { spec: '', steps: [5] }, reason: /steps\.0/ },
+    { name: 'a step that is not an object', body: { spec: '', steps: [5] }, reason: /steps\.0/ },
     { name: 'a negative amount', body: { spec: '', steps: [{ ...step, memMb: -1 }] }, reason: /memoryMegabytes/ },
-    { name: 'an amount of another type', body: { spec: '', steps: [{ ...step, millicpus: '500' }] }, reason: /processorsThousandths/ },
+    { name: 'an amount of the wrong type', body: { spec: '', steps: [{ ...step, millicpus: '500' }] }, reason: /processorsThousandths/ },
     { name: 'too many tasks', body: { spec: '', steps: [{ ...step, count: 1e9 }] }, reason: /count/ },
     { name: 'a cycle', body: { spec: '', steps: [{ ...step, after: [1] }, { ...step, after: [0] }] }, reason: /after/ },
     { name: 'a step after itself', body: { spec: '', steps: [{ ...step, after: [0] }] }, reason: /after/ },
-    { name: 'a long text', body: { spec: 'x'.repeat(4001), steps: [step] }, reason: /longer/ }
+    { name: 'a specification that is too long', body: { spec: 'x'.repeat(4001), steps: [step] }, reason: /longer/ }
   ]
-  for (const { name, body, reason } of BAD) {
-    it(`refuses ${name}`, () => {
+  for (const { name, body, reason } of INVALID) {
+    it(`rejects ${name}`, () => {
       const decoded = decodeJob(typeof body === 'string' ? body : JSON.stringify(body))
       assert.equal(decoded.kind, 'invalid')
       if (decoded.kind === 'invalid') assert.match(decoded.reason, reason)
     })
   }
 
-  it('decodes a job and keeps defaults for what is left out', () => {
+  it('decodes a job and applies defaults to missing fields', () => {
     const decoded = decodeJob(JSON.stringify({ spec: 's', times: 3, firstMs: 10, intervalMs: 20, steps: [step, { ...step, after: [0], gang: true, fills: true, maxPerServer: 1, mayMiss: 2, unheard: 1 }] }))
     assert.equal(decoded.kind, 'job')
     if (decoded.kind !== 'job') return
@@ -305,15 +305,15 @@
 
 describe('registry', () => {
   const entry = { service: 'p', addr: 'h:1', zone: 'a', state: 'ready', room: { millicpus: 1, memMb: 2, gpus: 0 }, labels: ['k', 'r'], born: 7, sequence: 4 }
-  /** Entries by other writers name no worker to use. */
+  /** Entries that describe no usable worker. */
   const UNUSABLE: ReadonlyArray<{ readonly name: string, readonly value: unknown }> = [
     { name: 'an unknown state', value: { ...entry, state: 'resting' } },
-    { name: 'room of another type', value: { ...entry, room: 'much' } },
+    { name: 'capacity of the wrong type', value: { ...entry, room: 'much' } },
     { name: 'no address', value: { ...entry, addr: undefined } },
-    { name: 'no object', value: 5 }
+    { name: 'a value that is not an object', value: 5 }
   ]
   for (const { name, value } of UNUSABLE) it(`skips an entry with ${name}`, () => assert.equal(decodeWorker('i-1', Buffer.from(JSON.stringify(value))), undefined))
-  it('skips an entry of bytes that cannot be read', () => assert.equal(decodeWorker('i-1', Buffer.from([255, 0, 1])), undefined))
+  it('skips an entry that is not JSON', () => assert.equal(decodeWorker('i-1', Buffer.from([255, 0, 1])), undefined))
   it('decodes an entry', () => assert.deepEqual(decodeWorker('i-1', Buffer.from(JSON.stringify(entry))), {
     identity: 'i-1', pool: 'p', address: 'h:1', failureDomain: 'a', state: 'ready', processorsThousandths: 1, memoryMegabytes: 2, accelerators: 0, labels: ['k', 'r'], bornAt: 7
   }))
@@ -357,12 +357,12 @@
 [platform]
 addr = "10.0.0.1:2"
 `
-  it('gives the settings and ignores keys that it does not know', () => {
+  it('returns the settings and ignores unknown keys', () => {
     const settings = parsePlatformSettings('file', text)
     assert.equal(settings.cluster.processorShare, 1)
     assert.equal(settings.cluster.linkMegabits, 525)
     assert.deepEqual(settings.cluster.link, { host: '127.0.0.1', port: 7720 })
     assert.equal(settings.cluster.bounds.graceMilliseconds, 6000)
   })
-  it('names file and key of what is wrong', () => assert.throws(() => parsePlatformSettings('file.toml', text.replace('holdMaxMs = 6000', '')), /file\.toml: bounds\.holdMaxMs/))
+  it('names the file and the key of a missing setting', () => assert.throws(() => parsePlatformSettings('file.toml', text.replace('holdMaxMs = 6000', '')), /file\.toml: bounds\.holdMaxMs/))
 })
--- a/test/platform/callerServer.test.ts
+++ b/test/platform/callerServer.test.ts
@@ -14,9 +14,9 @@
   return `POST /q/${identity} HTTP/1.1\r\n${HEAD}${BODY}`
 }
 
-/** A caller server over a front that stores a job when the test says so. */
+/** A caller server with a fake job service that stores jobs when the test calls `storeAll`. */
 class Fixture {
-  readonly stored: Array<() => void> = []
+  readonly pendingSubmits: Array<() => void> = []
   readonly callers: RawCaller[] = []
   readonly server: CallerServer
   port = 0
@@ -29,7 +29,7 @@
         maximumBodyBytes: 10_000
       },
       jobService: {
-        submit: async () => await new Promise<SubmitResult>(resolve => { this.stored.push(() => resolve({ kind: 'accepted' })) }),
+        submit: async () => await new Promise<SubmitResult>(resolve => { this.pendingSubmits.push(() => resolve({ kind: 'accepted' })) }),
         getState: async () => 'pending',
         cancel: async () => 'cancelled',
         countWaitingJobs: async () => 3
@@ -38,7 +38,8 @@
     this.server = new CallerServer(services, new ClusterMetrics(), () => performance.now())
   }
 
-  async connectKept (): Promise<RawCaller> {
+  /** Connects a caller whose connection has served one request and stays open. */
+  async connectPersistent (): Promise<RawCaller> {
     const caller = new RawCaller(this.port)
     this.callers.push(caller)
     caller.write(GET)
@@ -48,92 +49,93 @@
   }
 
   prepareStop (): number {
-    const latest = performance.now() + GRACE_MILLISECONDS
-    this.server.prepareStop(latest)
-    return latest
+    const deadline = performance.now() + GRACE_MILLISECONDS
+    this.server.prepareStop(deadline)
+    return deadline
   }
 
   storeAll (): void {
-    for (const store of this.stored.splice(0)) store()
+    for (const store of this.pendingSubmits.splice(0)) store()
   }
 }
 
-async function endsAfter (caller: RawCaller, statuses: readonly number[]): Promise<void> {
+/** Asserts that a connection is closed in an orderly way after responses with these statuses, and that only the last one announces the close. */
+async function assertClosedAfter (caller: RawCaller, statuses: readonly number[]): Promise<void> {
   await untilTrue(() => caller.ended !== 'no')
   assert.deepEqual({ statuses: caller.statuses, closings: caller.closings, ended: caller.ended }, { statuses, closings: 1, ended: 'orderly' })
 }
 
-/** Each case guards against a planned stop that breaks a channel after its process has read a request. */
+/** Each case guards against a graceful shutdown that drops a request which the process has read or the kernel has accepted. */
 const CASES: ReadonlyArray<{ readonly name: string, readonly run: (fixture: Fixture) => Promise<void> }> = [
   {
     name: 'a job that is being stored',
     run: async fixture => {
-      const caller = await fixture.connectKept()
+      const caller = await fixture.connectPersistent()
       caller.write(post('00000000000000aa'))
-      await untilTrue(() => fixture.stored.length === 1)
+      await untilTrue(() => fixture.pendingSubmits.length === 1)
       const drained = fixture.server.drain(fixture.prepareStop())
       fixture.storeAll()
-      await endsAfter(caller, [200])
+      await assertClosedAfter(caller, [200])
       assert.equal(await drained, 0)
     }
   },
   {
     name: 'pipelined jobs that are being stored',
     run: async fixture => {
-      const caller = await fixture.connectKept()
+      const caller = await fixture.connectPersistent()
       caller.write(post('00000000000000aa') + post('00000000000000ab'))
-      await untilTrue(() => fixture.stored.length === 2)
+      await untilTrue(() => fixture.pendingSubmits.length === 2)
       const drained = fixture.server.drain(fixture.prepareStop())
       fixture.storeAll()
-      await endsAfter(caller, [200, 200])
+      await assertClosedAfter(caller, [200, 200])
       assert.equal(await drained, 0)
     }
   },
   {
-    name: 'a request that arrives on an idle connection as the stop begins',
+    name: 'a request that arrives on an idle connection as the shutdown starts',
     run: async fixture => {
-      const caller = await fixture.connectKept()
+      const caller = await fixture.connectPersistent()
       caller.write(GET)
       fixture.prepareStop()
-      await endsAfter(caller, [200])
+      await assertClosedAfter(caller, [200])
     }
   },
   {
-    name: 'a request on a connection that is idle while the balancer still sends callers',
+    name: 'a request on an idle connection while the load balancer still sends requests',
     run: async fixture => {
-      const caller = await fixture.connectKept()
+      const caller = await fixture.connectPersistent()
       fixture.prepareStop()
       for (let turns = 0; turns < 20; turns += 1) await new Promise(resolve => setImmediate(resolve))
       caller.write(GET)
-      await endsAfter(caller, [200])
+      await assertClosedAfter(caller, [200])
     }
   },
   {
-    name: 'requests on connections that have not been accepted when listening ends',
+    name: 'requests on connections that are not accepted yet when listening ends',
     run: async fixture => {
-      const latest = fixture.prepareStop()
+      const deadline = fixture.prepareStop()
       const callers = Array.from({ length: 30 }, () => new RawCaller(fixture.port))
       fixture.callers.push(...callers)
       for (const caller of callers) caller.write(GET)
-      const drained = fixture.server.drain(latest)
-      for (const caller of callers) await endsAfter(caller, [200])
+      const drained = fixture.server.drain(deadline)
+      for (const caller of callers) await assertClosedAfter(caller, [200])
       assert.equal(await drained, 0)
     }
   },
   {
-    name: 'a job whose body does not arrive before the stop must end is refused, and stored nowhere',
+    name: 'a job whose body does not arrive before the shutdown deadline with 503, without storing it',
     run: async fixture => {
-      const caller = await fixture.connectKept()
+      const caller = await fixture.connectPersistent()
       fixture.server.prepareStop(performance.now() + 50)
       caller.write(post('00000000000000aa').slice(0, -2))
-      await endsAfter(caller, [503])
+      await assertClosedAfter(caller, [503])
       assert.match(caller.text, /\r\nretry-after: 1\r\n/)
-      assert.equal(fixture.stored.length, 0)
+      assert.equal(fixture.pendingSubmits.length, 0)
     }
   }
 ]
 
-describe('CallerServer of the platform during a planned stop', () => {
+describe('CallerServer of the platform during a graceful shutdown', () => {
   for (const { name, run } of CASES) {
     it(`answers ${name}`, { timeout: 20_000 }, async () => {
       const fixture = new Fixture()
--- a/test/platform/earlySignals.test.ts
+++ b/test/platform/earlySignals.test.ts
@@ -10,17 +10,17 @@
 
 const PROGRAM = fileURLToPath(new URL('../../platform/main.js', import.meta.url))
 
-describe('instance that starts', () => {
+describe('instance during startup', () => {
   const directory = mkdtempSync(join(tmpdir(), 'vanillaturn-test-'))
   after(() => rmSync(directory, { recursive: true }))
 
-  /** Changed settings are announced by SIGHUP, which ended an instance that had not installed its handler yet. */
-  it('is not ended by SIGHUP before it has read its settings', async () => {
+  /** SIGHUP announces changed settings. Guards against a signal that terminates an instance which has not installed its handler yet. */
+  it('is not terminated by SIGHUP before it reads its settings', async () => {
     const settings = join(directory, 'settings.toml')
     execFileSync('mkfifo', [settings])
     const child = spawn(process.execPath, [PROGRAM], { env: { ...process.env, VANILLATURN_BOOT: settings }, stdio: 'ignore' })
     const exited = once(child, 'exit')
-    // Opening the pipe for writing waits until the program reads from it.
+    // Opening the pipe for writing blocks until the program opens it for reading.
     const pipe = await open(settings, 'w')
     child.kill('SIGHUP')
     await pipe.write('node = 1')
--- a/test/platform/gracefulShutdown.test.ts
+++ b/test/platform/gracefulShutdown.test.ts
@@ -13,10 +13,10 @@
 
 const PROGRAM = fileURLToPath(new URL('../../platform/main.js', import.meta.url))
 const HOST = '127.0.0.1'
-/** Loopback address of this process alone, since the settings name ports that other processes could take. */
+/** Loopback address used by this process only, because other processes could take the ports named in the settings. */
 const OWN_HOST = `127.${64 + (process.pid >> 16 & 63)}.${process.pid >> 8 & 255}.${process.pid & 255}`
 const CALLERS = 50
-const ANSWERS_BEFORE_STOP = 500
+const RESPONSES_BEFORE_SHUTDOWN = 500
 const GRACE_SECONDS = 6
 const POLL_MILLISECONDS = 20
 
@@ -35,7 +35,7 @@
   })
 }
 
-/** First of two free ports that follow each other. */
+/** Returns the first of two consecutive free ports. */
 async function findPortRange (): Promise<number> {
   while (true) {
     const first = await listen(0) as Server
@@ -47,7 +47,7 @@
   }
 }
 
-/** Starts the compiled instance without a log to follow; resolves with the port that it listens on for callers. */
+/** Starts the compiled instance without a reachable log. Resolves with its process and its port for callers. */
 async function startInstance (): Promise<{ process: ChildProcess, port: number }> {
   const ports = await findPortRange()
   const settings = join(directory, 'local.toml')
@@ -78,20 +78,20 @@
     child.stdout.resume()
     return { process: child, port: Number(port) }
   }
-  throw new Error('the instance ended before it listened')
+  throw new Error('the instance exited before it listened')
 }
 
-describe('planned stop of the compiled instance for the platform', () => {
-  /** Guards against a stop that resets connections: SIGTERM while all callers keep their connections busy, and connect anew when one ends. */
-  it('answers every request on kept connections, and ends within the grace period with status 0', { timeout: 60_000 }, async () => {
+describe('graceful shutdown of the compiled platform instance', () => {
+  /** Guards against a shutdown that resets connections: SIGTERM arrives while all callers keep persistent connections busy and reconnect when one is closed. */
+  it('answers every request on persistent connections, and exits within the grace period with status 0', { timeout: 60_000 }, async () => {
     const instance = await startInstance()
     const callers = new PersistentCallers(instance.port, '/q/00000000000000aa')
     try {
       callers.start(CALLERS)
-      while ((callers.counts.answers['503'] ?? 0) < ANSWERS_BEFORE_STOP) await delay(POLL_MILLISECONDS)
-      const ended = once(instance.process, 'exit')
+      while ((callers.counts.answers['503'] ?? 0) < RESPONSES_BEFORE_SHUTDOWN) await delay(POLL_MILLISECONDS)
+      const exited = once(instance.process, 'exit')
       instance.process.kill('SIGTERM')
-      const [status] = await ended
+      const [status] = await exited
       await callers.stop()
       const { brokenKept, brokenFresh, errors } = callers.counts
       assert.deepEqual({ brokenKept, brokenFresh, errors }, { brokenKept: 0, brokenFresh: 0, errors: {} })
