--- a/src/operator/jobHistory.ts
+++ b/src/operator/jobHistory.ts
@@ -17,15 +17,15 @@
   objectiveMilliseconds: z.number().optional()
 })
 
-/** One line of a process's log. */
+/** A line of the log of a process. */
 export type LogLine = z.infer<typeof logLineSchema>
 
-/** Waits from one step of a job to the next that are named, in milliseconds; shorter ones are usual. */
+/** Waits between two steps of a job are reported from this duration on; shorter ones are usual. */
 const LONG_WAIT_MILLISECONDS = 500
-/** A run that goes on for this many times the median of its job's runs is named. */
+/** A run is reported as long if it takes more than this multiple of the median of its job's runs. */
 const LONG_RUN_FACTOR = 2
 
-/** Messages about the role of scheduler and the log, which explain why a job waited. */
+/** Messages about the scheduler role and the log, which explain why a job waited. */
 const CONTEXT_MESSAGES: ReadonlySet<string> = new Set([
   'acting as scheduler',
   'no longer acting as scheduler',
@@ -37,10 +37,10 @@
   'submissions cannot be read',
   'submissions can be read again'
 ])
-/** Messages that mark the steps of a job's life. */
-const QUESTION_MESSAGE = 'eligible workers are known'
-const STEP_MESSAGES: ReadonlySet<string> = new Set(['job accepted', QUESTION_MESSAGE, 'run ordered', 'run ended', 'job finished'])
-/** Messages about a worker, which explain what became of its runs. */
+const ELIGIBILITY_MESSAGE = 'eligible workers are known'
+/** Messages that mark the steps in the life cycle of a job. */
+const STEP_MESSAGES: ReadonlySet<string> = new Set(['job accepted', ELIGIBILITY_MESSAGE, 'run ordered', 'run ended', 'job finished'])
+/** Messages about a worker, which explain the outcome of its runs. */
 const WORKER_MESSAGES: ReadonlySet<string> = new Set([
   'worker does not answer',
   'worker answers again',
@@ -49,36 +49,36 @@
   'worker gets no work for a while; its runs have failed in a row'
 ])
 
-/** Parses the log lines of all processes; text before the opening brace is skipped, as are lines that are no log lines. Sorted by time of day; lines of one time keep their order. */
+/** Parses the log lines of all processes and sorts them by wall-clock time; lines with the same time keep their order. Text before the opening brace and lines of other types are skipped. */
 export function parseLog (lines: Iterable<string>): LogLine[] {
-  const found: Array<{ readonly line: LogLine, readonly time: number }> = []
+  const parsed: Array<{ readonly line: LogLine, readonly time: number }> = []
   for (const text of lines) {
     const start = text.indexOf('{"type":"log"')
     if (start < 0) continue
-    const line = logLineSchema.safeParse(parseJsonLine(text.slice(start)))
-    if (line.success) found.push({ line: line.data, time: Date.parse(line.data.time) })
+    const result = logLineSchema.safeParse(parseJsonLine(text.slice(start)))
+    if (result.success) parsed.push({ line: result.data, time: Date.parse(result.data.time) })
   }
-  return found.sort((left, right) => left.time - right.time).map(({ line }) => line)
+  return parsed.sort((left, right) => left.time - right.time).map(({ line }) => line)
 }
 
-/** Lines about a job and its tasks, with the changes of scheduler, log and workers during its life that concern it. */
+/** Selects the lines about a job and its tasks, and the changes of the scheduler, the log and the job's workers during its lifetime. */
 export function selectHistory (log: readonly LogLine[], job: string): LogLine[] {
-  const own = log.filter(line => concerns(line, job))
-  const first = own[0]
-  const last = own.at(-1)
+  const jobLines = log.filter(line => isAboutJob(line, job))
+  const first = jobLines[0]
+  const last = jobLines.at(-1)
   if (first === undefined || last === undefined) return []
   const from = Date.parse(first.time)
   const until = Date.parse(last.time)
-  const workers = new Set(own.flatMap(line => line.worker ?? []))
+  const workers = new Set(jobLines.flatMap(line => line.worker ?? []))
   return log.filter(line => {
-    if (concerns(line, job)) return true
+    if (isAboutJob(line, job)) return true
     const time = Date.parse(line.time)
     if (time < from || time > until) return false
     return CONTEXT_MESSAGES.has(line.message) || (line.worker !== undefined && workers.has(line.worker) && WORKER_MESSAGES.has(line.message))
   })
 }
 
-/** Says in a few sentences what became of a job and where its time went. Undefined if no line is about it. */
+/** Explains the outcome of a job and its delays in a few sentences. Returns undefined if no line is about the job. */
 export function explainHistory (log: readonly LogLine[], job: string): string[] | undefined {
   const history = selectHistory(log, job)
   if (history.length === 0) return undefined
@@ -86,11 +86,11 @@
   return sentences.length > 0 ? sentences : ['the log has lines about the job, but none of its decisions']
 }
 
-/** Renders lines as text, with the time since the first one in seconds. */
+/** Formats lines as text, with the time since the first one in seconds. */
 export function formatHistory (history: readonly LogLine[]): string {
   const start = Date.parse(history[0]?.time ?? '')
   const width = Math.max(0, ...history.map(line => line.process.length))
-  return history.map(line => `${seconds(Date.parse(line.time) - start).padStart(9)}  ${line.process.padEnd(width)}  ${line.message}  ${describeFields(line)}`.trimEnd()).join('\n')
+  return history.map(line => `${formatSeconds(Date.parse(line.time) - start).padStart(9)}  ${line.process.padEnd(width)}  ${line.message}  ${describeFields(line)}`.trimEnd()).join('\n')
 }
 
 function explainAcceptance (history: readonly LogLine[]): string[] {
@@ -104,18 +104,18 @@
   return isAccepted ? sentences : [...sentences, 'never accepted: the job did not run']
 }
 
-/** Names the long waits between the steps of a job while nothing of it ran, and what else happened during them. */
+/** Reports long waits between the steps of a job during which none of its tasks ran, and the concurrent changes. */
 function explainWaits (history: readonly LogLine[], job: string): string[] {
   const sentences: string[] = []
-  const others = history.filter(line => !concerns(line, job))
+  const contextLines = history.filter(line => !isAboutJob(line, job))
   let previous: LogLine | undefined
   let running = 0
   for (const line of history) {
-    // A question that is asked again while the job waits is no step.
-    if (!concerns(line, job) || !STEP_MESSAGES.has(line.message) || (line.message === QUESTION_MESSAGE && previous?.message === QUESTION_MESSAGE)) continue
+    // A repeated eligibility query of a waiting job is not a step.
+    if (!isAboutJob(line, job) || !STEP_MESSAGES.has(line.message) || (line.message === ELIGIBILITY_MESSAGE && previous?.message === ELIGIBILITY_MESSAGE)) continue
     const waited = previous === undefined ? 0 : Date.parse(line.time) - Date.parse(previous.time)
     if (previous !== undefined && running === 0 && waited >= LONG_WAIT_MILLISECONDS) {
-      sentences.push(`waited ${seconds(waited)} s after '${previous.message}' for '${line.message}'; ${describeMeanwhile(others, previous, line)}`)
+      sentences.push(`waited ${formatSeconds(waited)} s after '${previous.message}' for '${line.message}'; ${describeConcurrentChanges(contextLines, previous, line)}`)
     }
     if (line.message === 'run ordered') running += 1
     if (line.message === 'run ended') running = Math.max(0, running - 1)
@@ -124,10 +124,10 @@
   return sentences
 }
 
-/** Groups what happened between two lines by message. */
-function describeMeanwhile (others: readonly LogLine[], from: LogLine, to: LogLine): string {
+/** Describes the changes between two lines, grouped by message. */
+function describeConcurrentChanges (contextLines: readonly LogLine[], from: LogLine, to: LogLine): string {
   const subjects = new Map<string, Set<string>>()
-  for (const { time, message, worker, process } of others) {
+  for (const { time, message, worker, process } of contextLines) {
     if (Date.parse(time) < Date.parse(from.time) || Date.parse(time) > Date.parse(to.time)) continue
     subjects.set(message, (subjects.get(message) ?? new Set()).add(worker ?? process))
   }
@@ -160,7 +160,7 @@
   return [`${end.code} after ${durationMilliseconds} ms${objective}${end.reason === undefined ? '' : `: ${end.reason}`}`]
 }
 
-function concerns (line: LogLine, job: string): boolean {
+function isAboutJob (line: LogLine, job: string): boolean {
   return line.job === job || line.task === job || line.task?.startsWith(`${job}.`) === true
 }
 
@@ -169,6 +169,6 @@
   return Object.entries(fields).map(([name, value]) => `${name}=${String(value)}`).join(' ')
 }
 
-function seconds (milliseconds: number): string {
+function formatSeconds (milliseconds: number): string {
   return (milliseconds / 1000).toFixed(3)
 }
--- a/src/operator/jsonLine.ts
+++ b/src/operator/jsonLine.ts
@@ -1,4 +1,4 @@
-/** The value of a line of JSON; undefined for one that cannot be parsed, such as one cut short by the end of a process. */
+/** Parses a line of JSON. Returns undefined for an invalid line, such as one truncated when its process terminated. */
 export function parseJsonLine (line: string): unknown {
   try {
     return JSON.parse(line)
--- a/src/operator/timeline.ts
+++ b/src/operator/timeline.ts
@@ -1,7 +1,7 @@
 import { eventSchema, type SystemEvent } from '../contracts/events.js'
 import { parseJsonLine } from './jsonLine.js'
 
-/** Which events to show; absent fields match everything. */
+/** Selects events to show. Absent fields match every event. */
 export interface TimelineFilter {
   readonly job?: string
   readonly request?: string
@@ -9,12 +9,12 @@
   /** Process that recorded the event. */
   readonly instance?: string
   readonly kind?: string
-  /** Earliest and latest wall-clock time, in milliseconds since 1970; both inclusive. */
+  /** Earliest and latest wall-clock time as Unix time in milliseconds, both inclusive. */
   readonly sinceMilliseconds?: number
   readonly untilMilliseconds?: number
 }
 
-/** Parses JSON lines; lines that are not events are skipped. The order of the lines is kept. */
+/** Parses JSON lines in their order and skips lines that are not events. */
 export function parseEvents (lines: Iterable<string>): SystemEvent[] {
   const events: SystemEvent[] = []
   for (const line of lines) {
@@ -25,27 +25,27 @@
   return events
 }
 
-/** Orders events of several processes consistently with causality: by logical time, ties by process. */
+/** Merges the events of several processes into an order consistent with causality: by logical time, then by process. */
 export function mergeEvents (events: readonly SystemEvent[]): SystemEvent[] {
-  return [...events].sort((left, right) => left.logicalTime - right.logicalTime || compareTexts(left.process, right.process) || compareTexts(left.time, right.time))
+  return [...events].sort((left, right) => left.logicalTime - right.logicalTime || compareStrings(left.process, right.process) || compareStrings(left.time, right.time))
 }
 
 /**
- * Checks the logical times, of events in the order in which each process wrote them. Returns one line for each fault:
- * a process whose logical time does not grow, or an effect that does not come after its cause in another process,
- * which means that a message between them did not carry the logical time.
+ * Checks that the logical times of events are consistent with causality. The events of each process must be in the order in
+ * which it wrote them. Returns one line for each violation: a process whose logical time does not increase, or an effect whose
+ * logical time is not after that of its cause in another process, because a message between the two did not carry it.
  */
 export function checkCausalOrder (events: readonly SystemEvent[]): string[] {
-  const faults: string[] = []
-  const last = new Map<string, number>()
+  const violations: string[] = []
+  const lastTimes = new Map<string, number>()
   for (const { process, incarnation, logicalTime, kind } of events) {
     const key = `${process} ${incarnation}`
-    const before = last.get(key) ?? 0
-    if (logicalTime <= before) faults.push(`${process}: ${kind} has logical time ${logicalTime} after ${before}`)
-    last.set(key, logicalTime)
+    const previous = lastTimes.get(key) ?? 0
+    if (logicalTime <= previous) violations.push(`${process}: ${kind} has logical time ${logicalTime} after ${previous}`)
+    lastTimes.set(key, logicalTime)
   }
-  for (const rule of CAUSES) faults.push(...checkRule(events, rule))
-  return faults
+  for (const rule of CAUSALITY_RULES) violations.push(...findRuleViolations(events, rule))
+  return violations
 }
 
 export function filterEvents (events: readonly SystemEvent[], filter: TimelineFilter): SystemEvent[] {
@@ -59,15 +59,15 @@
     (filter.untilMilliseconds === undefined || Date.parse(event.time) <= filter.untilMilliseconds))
 }
 
-/** Renders events as text, one a line. */
+/** Formats events as text, one per line. */
 export function formatTimeline (events: readonly SystemEvent[]): string {
   const width = Math.max(0, ...events.map(event => event.process.length))
   return events.map(event => `${String(event.logicalTime).padStart(8)}  ${event.time}  ${event.process.padEnd(width)}  ${event.kind.padEnd(22)}  ${describeFields(event)}`.trimEnd()).join('\n')
 }
 
-/** Renders events as an HTML page with a column for each process. The page loads nothing else. */
+/** Renders events as a self-contained HTML page with a column for each process. */
 export function renderTimelinePage (events: readonly SystemEvent[]): string {
-  const processes = [...new Set(events.map(event => event.process))].sort(compareTexts)
+  const processes = [...new Set(events.map(event => event.process))].sort(compareStrings)
   const head = processes.map(name => `<th>${escapeHtml(name)}</th>`).join('')
   const rows = events.map(event => {
     const cells = processes.map(name => name === event.process ? `<td title="${escapeHtml(event.time)}"><b>${escapeHtml(event.kind)}</b> ${escapeHtml(describeFields(event))}</td>` : '<td></td>').join('')
@@ -88,39 +88,39 @@
 `
 }
 
-interface CauseRule {
+interface CausalityRule {
   readonly cause: SystemEvent['kind']
   readonly effect: SystemEvent['kind']
-  /** Field that relates a cause to its effect. */
-  readonly by: 'request' | 'job' | 'task'
+  /** Field that has the same value in a cause and its effect. */
+  readonly subjectField: 'request' | 'job' | 'task'
 }
 
-/** Pairs whose effect follows from a message that the cause's process has sent. The first effect must come after the first cause. */
-const CAUSES: readonly CauseRule[] = [
-  { cause: 'requestAccepted', effect: 'requestDispatched', by: 'request' },
-  { cause: 'requestDispatched', effect: 'executorStarted', by: 'request' },
-  { cause: 'executorEnded', effect: 'requestAnswered', by: 'request' },
-  { cause: 'requestAnswered', effect: 'callerAnswered', by: 'request' },
-  { cause: 'jobSubmitted', effect: 'taskStarting', by: 'job' },
-  { cause: 'taskStarting', effect: 'taskStarted', by: 'task' },
-  { cause: 'taskEnded', effect: 'jobEnded', by: 'job' }
+/** Pairs of events whose effect follows from the cause, mostly through a message. Every effect must come after the earliest cause with the same subject. */
+const CAUSALITY_RULES: readonly CausalityRule[] = [
+  { cause: 'requestAccepted', effect: 'requestDispatched', subjectField: 'request' },
+  { cause: 'requestDispatched', effect: 'executorStarted', subjectField: 'request' },
+  { cause: 'executorEnded', effect: 'requestAnswered', subjectField: 'request' },
+  { cause: 'requestAnswered', effect: 'callerAnswered', subjectField: 'request' },
+  { cause: 'jobSubmitted', effect: 'taskStarting', subjectField: 'job' },
+  { cause: 'taskStarting', effect: 'taskStarted', subjectField: 'task' },
+  { cause: 'taskEnded', effect: 'jobEnded', subjectField: 'job' }
 ]
 
-function checkRule (events: readonly SystemEvent[], { cause, effect, by }: CauseRule): string[] {
+function findRuleViolations (events: readonly SystemEvent[], { cause, effect, subjectField }: CausalityRule): string[] {
   const causes = new Map<string, SystemEvent>()
   for (const event of events) {
-    const subject = event[by]
+    const subject = event[subjectField]
     if (event.kind !== cause || subject === undefined) continue
-    const known = causes.get(subject)
-    if (known === undefined || event.logicalTime < known.logicalTime) causes.set(subject, event)
+    const earliest = causes.get(subject)
+    if (earliest === undefined || event.logicalTime < earliest.logicalTime) causes.set(subject, event)
   }
-  const faults: string[] = []
+  const violations: string[] = []
   for (const event of events) {
-    const before = event[by] === undefined || event.kind !== effect ? undefined : causes.get(event[by])
-    if (before === undefined || event.logicalTime > before.logicalTime) continue
-    faults.push(`${by} ${event[by]}: ${effect} at ${event.process} has logical time ${event.logicalTime}, not after ${cause} at ${before.process} with ${before.logicalTime}`)
+    const earliest = event[subjectField] === undefined || event.kind !== effect ? undefined : causes.get(event[subjectField])
+    if (earliest === undefined || event.logicalTime > earliest.logicalTime) continue
+    violations.push(`${subjectField} ${event[subjectField]}: ${effect} at ${event.process} has logical time ${event.logicalTime}, not after ${cause} at ${earliest.process} with ${earliest.logicalTime}`)
   }
-  return faults
+  return violations
 }
 
 function describeFields (event: SystemEvent): string {
@@ -128,7 +128,7 @@
   return Object.entries(fields).map(([name, value]) => `${name}=${value}`).join(' ')
 }
 
-function compareTexts (left: string, right: string): number {
+function compareStrings (left: string, right: string): number {
   if (left === right) return 0
   return left < right ? -1 : 1
 }
