--- a/src/programs/vanillaturn.ts
+++ b/src/programs/vanillaturn.ts
@@ -2,10 +2,10 @@
 import { cac } from 'cac'
 import { z } from 'zod'
 import { EVENT_KINDS } from '../contracts/events.js'
-import { OperatorClient, type InstanceAnswer, type PublishResult } from '../operator/operatorClient.js'
+import { OperatorClient, type InstanceResponse, type PublishResult } from '../operator/operatorClient.js'
 import { explainHistory, formatHistory, parseLog, selectHistory } from '../operator/jobHistory.js'
 import { assessStatus, formatStatus } from '../operator/statusReport.js'
-import { checkOrder, filterEvents, formatTimeLine, mergeEvents, parseEvents, renderTimeLinePage } from '../operator/timeLine.js'
+import { checkCausalOrder, filterEvents, formatTimeline, mergeEvents, parseEvents, renderTimelinePage } from '../operator/timeline.js'
 import { checkOptions, EXIT_FAILURE, readSettings, readSiteText, readText, runCommandLine, textOption, UsageError, wholeNumberOption, writeLine, writeText } from './commandLine.js'
 import { operatorSettingsSchema } from '../contracts/settings.js'
 
@@ -70,7 +70,7 @@
 }
 
 /** Picks the answers that say most: of a request every one, of a job that of the owner. */
-function chooseExplanations (answers: readonly InstanceAnswer[]): string[] {
+function chooseExplanations (answers: readonly InstanceResponse[]): string[] {
   const known = answers.filter(answer => answer.status === 200).map(answer => answer.body ?? {})
   const requests = known.filter(body => body.subjectKind === 'request')
   if (requests.length > 0) return requests.map(body => `${body.instance}: ${body.explanation}`)
@@ -79,7 +79,7 @@
 }
 
 async function explainFromInstances (client: OperatorClient, subject: string): Promise<void> {
-  const answers = await client.askAll(`/operator/explain/${encodeURIComponent(subject)}`)
+  const answers = await client.queryAll(`/operator/explain/${encodeURIComponent(subject)}`)
   const explanations = chooseExplanations(answers)
   for (const line of explanations) writeLine(line)
   if (explanations.length > 0) return
@@ -120,7 +120,7 @@
         return
       }
       if (options.wait === 0) return
-      const answers = await client.waitInForce(result.revision, options.wait * 1000)
+      const answers = await client.waitUntilInForce(result.revision, options.wait * 1000)
       const reached = answers.flatMap(answer => answer.status ?? [])
       const behind = reached.filter(status => status.revision < result.revision)
       for (const { address, status, reason } of answers) {
@@ -180,9 +180,9 @@
     const { html, since, until, ...filter } = checkOptions(given, commandOptions.timeline)
     const all = parseEvents(files.flatMap(file => readText(file).split('\n')))
     const events = filterEvents(mergeEvents(all), { ...filter, sinceMilliseconds: since, untilMilliseconds: until })
-    if (html !== undefined) writeText(html, renderTimeLinePage(events))
-    else if (events.length > 0) writeLine(formatTimeLine(events))
-    const faults = checkOrder(all)
+    if (html !== undefined) writeText(html, renderTimelinePage(events))
+    else if (events.length > 0) writeLine(formatTimeline(events))
+    const faults = checkCausalOrder(all)
     for (const fault of faults) process.stderr.write(`vanillaturn: the order is not causal: ${fault}\n`)
     if (faults.length > 0) process.exitCode = EXIT_FAILURE
   })
