--- a/src/entry/jobApi.ts
+++ b/src/entry/jobApi.ts
@@ -42,11 +42,11 @@
 
   /** Jobs of the own failure domain. */
   list (): Response {
-    return Response.json({ failureDomain: this.context.settings.failureDomain, jobs: this.jobs.book.allJobs().map(booked => this.view(booked)) })
+    return Response.json({ failureDomain: this.context.settings.failureDomain, jobs: this.jobs.registry.allJobs().map(booked => this.view(booked)) })
   }
 
   async read (identity: string, forwarded: boolean): Promise<Response> {
-    const booked = this.jobs.book.find(identity)
+    const booked = this.jobs.registry.find(identity)
     if (booked !== undefined) return Response.json(this.view(booked))
     const failureDomain = failureDomainOf(identity)
     if (forwarded || failureDomain === undefined || failureDomain === this.context.settings.failureDomain) {
--- a/src/entry/jobTask.ts
+++ b/src/entry/jobTask.ts
@@ -23,7 +23,7 @@
 
 /** Accepts jobs into the log and follows the jobs of the own failure domain. */
 export class JobTask extends DisposableObject {
-  readonly book = new JobRegistry(KEPT_ENDED_JOBS)
+  readonly registry = new JobRegistry(KEPT_ENDED_JOBS)
   private readonly appenders = new Map<string, LogAppender>()
   /** Jobs whose end has been sent and not yet read back. */
   private readonly ending = new Set<string>()
@@ -41,7 +41,7 @@
     this.register(this.didChange)
     this.register(follower.onDidReadIdentity(identity => this.appenders.get(follower.stream)?.noteRead(identity)))
     this.register(follower.onDidReadRecord(record => {
-      this.book.apply(record)
+      this.registry.apply(record)
       if (record.body.type === 'jobEnded') this.ending.delete(record.body.job)
       this.didChange.fire(record.body)
     }))
@@ -96,7 +96,7 @@
    * tasks, which must not run again. Resolves with whether all are in the log. A job whose end has been sent is left alone, so that a late starter never reads the acceptance after the end.
    */
   async reappend (identity: string): Promise<boolean> {
-    const booked = this.book.find(identity)
+    const booked = this.registry.find(identity)
     if (booked === undefined || booked.outcome !== undefined || this.ending.has(identity)) return false
     const { failureDomain } = booked
     const accepted = this.append(failureDomain, { type: 'jobAccepted', job: booked.job, failureDomain }, `job:${identity}`)
--- a/src/entry/operatorApi.ts
+++ b/src/entry/operatorApi.ts
@@ -61,7 +61,7 @@
       term: this.ownership.term,
       isOwner: this.ownership.isOwner(),
       activeRequests: this.requestDispatcher.activeRequests,
-      openJobs: this.jobs.book.openJobs().length,
+      openJobs: this.jobs.registry.openJobs().length,
       outdated: this.newerRecords() > 0,
       newerRecords: this.newerRecords(),
       peers: this.links.peers().map(peer => peer.instance),
@@ -77,7 +77,7 @@
     const { instance } = this.context.settings
     const explanation = this.requestHistory.explain(subject)
     if (explanation !== undefined) return Response.json({ subject, subjectKind: 'request', instance, explanation })
-    const job = this.jobs.book.find(subject)
+    const job = this.jobs.registry.find(subject)
     if (job === undefined) return errorResponse({ code: 'unknownJob', verdict: 'notRun', message: `'${subject}' is not known to this instance` })
     if (job.outcome !== undefined) return Response.json({ subject, subjectKind: 'job', instance, explanation: `the job has ended: ${job.outcome}${job.reason === undefined ? '' : ` (${job.reason})`}` })
     const scheduler = this.placement.current
--- a/src/entry/placementTask.ts
+++ b/src/entry/placementTask.ts
@@ -97,7 +97,7 @@
     const firstOwner = this.term === 1
     const lapseAt = firstOwner ? now : now + silentWorkerBoundMilliseconds(TASK_LEASE_MILLISECONDS, TASK_LEASE_MARGIN_MILLISECONDS)
     this.scheduler = new Scheduler(this.term, lapseAt, new BestFitPolicy())
-    for (const booked of this.jobs.book.openJobs()) {
+    for (const booked of this.jobs.registry.openJobs()) {
       this.scheduler.addJob(booked.job, now, !firstOwner)
       this.scheduler.onProgress(booked.job.identity, booked.finished, now)
       if (booked.cancelRequested) this.scheduler.cancelJob(booked.job.identity)
@@ -107,9 +107,9 @@
   private onJobChanged (body: RecordBody, now: number): void {
     const { scheduler } = this
     if (scheduler === undefined) return
-    if (body.type === 'jobAccepted' && this.jobs.book.find(body.job.identity)?.outcome === undefined) scheduler.addJob(body.job, now, this.term > 1 && now - this.ownerSince < LATE_RECORDS_MILLISECONDS)
+    if (body.type === 'jobAccepted' && this.jobs.registry.find(body.job.identity)?.outcome === undefined) scheduler.addJob(body.job, now, this.term > 1 && now - this.ownerSince < LATE_RECORDS_MILLISECONDS)
     if (body.type === 'jobCancelRequested') scheduler.cancelJob(body.job)
-    if (body.type === 'jobProgress') scheduler.onProgress(body.job, expandIndexRanges(body.finished, this.jobs.book.find(body.job)?.job.tasks ?? 0), now)
+    if (body.type === 'jobProgress') scheduler.onProgress(body.job, expandIndexRanges(body.finished, this.jobs.registry.find(body.job)?.job.tasks ?? 0), now)
     if (body.type === 'jobEnded') scheduler.forgetJob(body.job)
   }
 
--- a/src/programs/wiring.ts
+++ b/src/programs/wiring.ts
@@ -122,7 +122,7 @@
   const followers = [configurationFollower, ownershipFollower, jobFollower, keyFollower]
   const metrics = new MetricsRegistry()
   metrics.addGauge('active_requests', 'Requests accepted and not yet answered to their end', () => frontDoor.activeRequests)
-  metrics.addGauge('open_jobs', 'Jobs of the failure domain that have not ended', () => jobs.book.openJobs().length)
+  metrics.addGauge('open_jobs', 'Jobs of the failure domain that have not ended', () => jobs.registry.openJobs().length)
   metrics.addGauge('configuration_revision', 'Revision of the site text in force', () => configuration.inForce?.revision ?? 0)
   metrics.addGauge('link_bytes', 'Bytes sent and received on links', () => links.bytesExchanged)
   metrics.addGauge('processor_seconds', 'Processor time used by the process', () => process.cpuUsage().user / 1e6 + process.cpuUsage().system / 1e6)
--- a/test/entry/retentionTask.test.ts
+++ b/test/entry/retentionTask.test.ts
@@ -121,9 +121,9 @@
     const late = new Reader(log, false)
     context.after(() => late.dispose())
     await settle()
-    assert.deepEqual(late.jobs.book.openJobs().map(booked => [booked.job.identity, booked.cancelRequested]), [['open', true]])
+    assert.deepEqual(late.jobs.registry.openJobs().map(booked => [booked.job.identity, booked.cancelRequested]), [['open', true]])
     // Finished tasks that a late starter does not know would run again.
-    assert.deepEqual([...late.jobs.book.find('open')?.finished ?? []], [0, 1, 3])
+    assert.deepEqual([...late.jobs.registry.find('open')?.finished ?? []], [0, 1, 3])
     assert.equal(late.configuration.inForce?.text.site, 'two')
     assert.equal(late.configuration.inForce?.revision, 2)
     await log.write(CONFIGURATION_STREAM, 'three', published(2, 'three'))
