--- a/src/entry/jobTask.ts
+++ b/src/entry/jobTask.ts
@@ -111,7 +111,7 @@
   }
 
   /** Appends the end of a job. */
-  async end (identity: string, body: Extract<RecordBody, { type: 'jobEnded' }>): Promise<boolean> {
+  async recordEnd (identity: string, body: Extract<RecordBody, { type: 'jobEnded' }>): Promise<boolean> {
     this.ending.add(identity)
     return await this.append(this.context.settings.failureDomain, body, `end:${identity}`) === 'appended'
   }
--- a/src/entry/placementTask.ts
+++ b/src/entry/placementTask.ts
@@ -247,7 +247,7 @@
     this.context.events.record('jobEnded', { job, detail: outcome })
     const body = { type: 'jobEnded' as const, job, outcome, reason, atMilliseconds: Date.now() }
     while (!this.isDisposed && this.scheduler !== undefined) {
-      if (await this.jobs.end(job, body)) return
+      if (await this.jobs.recordEnd(job, body)) return
     }
   }
 }
