--- a/src/entry/jobApi.ts
+++ b/src/entry/jobApi.ts
@@ -5,7 +5,7 @@
 import { CALLER_HEADERS } from '../requests/headers.js'
 import { errorResponse } from './errorResponse.js'
 import type { EntryContext } from './entryContext.js'
-import { failureDomainOf, type JobAnswer, type JobTask } from './jobTask.js'
+import { failureDomainOf, type JobRequestResult, type JobTask } from './jobTask.js'
 import type { PlacementTask } from './placementTask.js'
 
 const FORWARD_TIMEOUT_MILLISECONDS = 2000
@@ -77,7 +77,7 @@
   }
 }
 
-function toResponse (answer: JobAnswer): Response {
+function toResponse (answer: JobRequestResult): Response {
   if (answer.kind === 'error') return errorResponse(answer.error)
   return Response.json({ job: answer.job, failureDomain: answer.failureDomain }, { status: 202 })
 }
--- a/src/entry/jobTask.ts
+++ b/src/entry/jobTask.ts
@@ -14,7 +14,7 @@
 import type { EntryContext } from './entryContext.js'
 
 /** Outcome of a submission or cancellation. */
-export type JobAnswer =
+export type JobRequestResult =
   | { readonly kind: 'accepted', readonly job: string, readonly failureDomain: string }
   | { readonly kind: 'error', readonly error: ServingError }
 
@@ -48,7 +48,7 @@
   }
 
   /** Accepts a job once it is in the log. The same idempotency key gives the same job. */
-  async submit (submission: JobSubmission, idempotencyKey: string | undefined): Promise<JobAnswer> {
+  async submit (submission: JobSubmission, idempotencyKey: string | undefined): Promise<JobRequestResult> {
     const text = this.configuration.inForce?.text
     if (text === undefined) return failure({ code: 'notReady', verdict: 'notRun', message: 'no configuration is in force yet', retryAfterSeconds: 1 })
     const problem = checkSubmission(submission, text)
@@ -69,7 +69,7 @@
   }
 
   /** Records a request to cancel a job of any failure domain. */
-  async cancel (identity: string): Promise<JobAnswer> {
+  async cancel (identity: string): Promise<JobRequestResult> {
     const failureDomain = failureDomainOf(identity)
     if (failureDomain === undefined || this.configuration.inForce?.text.failureDomains[failureDomain] === undefined) {
       return failure({ code: 'unknownJob', verdict: 'notRun', message: `there is no job '${identity}'` })
@@ -171,6 +171,6 @@
     : `no worker could ever carry a task of ${size}`
 }
 
-function failure (error: ServingError): JobAnswer {
+function failure (error: ServingError): JobRequestResult {
   return { kind: 'error', error }
 }
--- a/test/fakes/fakeSite.ts
+++ b/test/fakes/fakeSite.ts
@@ -7,7 +7,7 @@
 import type { Verdict } from '../../src/contracts/verdict.js'
 import type { EntryInstance } from '../../src/entry/entryInstance.js'
 import { RequestBody } from '../../src/entry/requestBody.js'
-import type { JobAnswer } from '../../src/entry/jobTask.js'
+import type { JobRequestResult } from '../../src/entry/jobTask.js'
 import { CALLER_HEADERS } from '../../src/requests/headers.js'
 import { assembleEntryInstance, createEntryContext, type EntryConnections } from '../../src/programs/wiring.js'
 import { FakeExecutor, FakeExecutorClient, UnreachablePeers, MAXIMUM_RUN_MILLISECONDS, SUBMISSION_HEADER } from './fakeExecutors.js'
@@ -49,7 +49,7 @@
   readonly name: string
   readonly kind: JobSubmission['kind']
   readonly failureDomain: string
-  answer: JobAnswer | undefined
+  answer: JobRequestResult | undefined
   cancelled: boolean
 }
 
