--- a/src/entry/keyGate.ts
+++ b/src/entry/keyGate.ts
@@ -18,7 +18,7 @@
     const header = request.headers.find(([name]) => name.toLowerCase() === CALLER_HEADERS.idempotencyKey)?.[1]
     if (header === undefined || request.isForwarded || isIdempotent(service, request.method)) return await run()
     const key = `${request.service}:${header}`
-    const decision = await this.keys.begin(key, request.identity, request.deadline)
+    const decision = await this.keys.acquire(key, request.identity, request.deadline)
     switch (decision.kind) {
       case 'unavailable':
         return errorResult(KEY_UNAVAILABLE)
--- a/src/entry/keyTask.ts
+++ b/src/entry/keyTask.ts
@@ -60,7 +60,7 @@
   }
 
   /** Asks whether a request with a key may run. To be asked before the first byte goes to an executor. */
-  async begin (key: string, request: string, deadline: number): Promise<KeyDecision> {
+  async acquire (key: string, request: string, deadline: number): Promise<KeyDecision> {
     let decision = await within(this.handle({ key, request, hops: 0 }), deadline - monotonicNow()) ?? UNAVAILABLE
     if (decision.kind === 'unavailable' && monotonicNow() + LOG_TIMEOUT_MILLISECONDS < deadline) {
       decision = await within(this.handle({ key, request, hops: 0 }), deadline - monotonicNow()) ?? UNAVAILABLE
--- a/test/entry/keyTask.test.ts
+++ b/test/entry/keyTask.test.ts
@@ -67,30 +67,30 @@
   {
     name: 'only one of two requests with a key runs, and costs one append each way',
     run: async ({ task, stream }) => {
-      const decisions = await Promise.all([task.begin('k', 'a', LATER), task.begin('k', 'b', LATER)])
+      const decisions = await Promise.all([task.acquire('k', 'a', LATER), task.acquire('k', 'b', LATER)])
       assert.deepEqual(decisions.map(({ kind }) => kind).sort(), ['outcomeUnknown', 'run'])
       await task.end('k', 'a', { kind: 'ended', status: 201, bodyBase64: 'eA==' })
-      assert.equal((await task.begin('k', 'c', LATER)).kind, 'recorded')
+      assert.equal((await task.acquire('k', 'c', LATER)).kind, 'recorded')
       assert.deepEqual(stream.appended, ['keyStarted', 'keyEnded'])
     }
   },
   {
     name: 'a request that was not run frees the key',
     run: async ({ task }) => {
-      await task.begin('k', 'a', LATER)
+      await task.acquire('k', 'a', LATER)
       await task.end('k', 'a', { kind: 'notRun' })
-      assert.equal((await task.begin('k', 'b', LATER)).kind, 'run')
+      assert.equal((await task.acquire('k', 'b', LATER)).kind, 'run')
     }
   },
   {
     name: 'while the log is away the owner decides from memory, and a later owner learns it from the log',
     run: async ({ task, stream }) => {
       stream.setAway(true)
-      assert.deepEqual(await task.begin('k', 'a', LATER), { kind: 'run', unlogged: true })
-      assert.equal((await task.begin('k', 'b', LATER)).kind, 'outcomeUnknown')
+      assert.deepEqual(await task.acquire('k', 'a', LATER), { kind: 'run', unlogged: true })
+      assert.equal((await task.acquire('k', 'b', LATER)).kind, 'outcomeUnknown')
       const successor = createSite(stream)
       stream.setAway(false)
-      assert.equal((await successor.task.begin('k', 'c', LATER)).kind, 'outcomeUnknown')
+      assert.equal((await successor.task.acquire('k', 'c', LATER)).kind, 'outcomeUnknown')
       assert.deepEqual(stream.appended, ['keyStarted'])
     }
   },
@@ -98,10 +98,10 @@
     name: 'an instance that is no longer owner, or that has not read the log, lets nothing run',
     run: async site => {
       site.owner = false
-      assert.equal((await site.task.begin('k', 'a', LATER)).kind, 'unavailable')
+      assert.equal((await site.task.acquire('k', 'a', LATER)).kind, 'unavailable')
       site.owner = true
       site.stream.follower.hasCaughtUp = false
-      assert.equal((await site.task.begin('k2', 'b', LATER)).kind, 'unavailable')
+      assert.equal((await site.task.acquire('k2', 'b', LATER)).kind, 'unavailable')
     }
   },
   {
@@ -109,7 +109,7 @@
     run: async site => {
       site.stream.setAway(true)
       const startedAt = performance.now()
-      assert.equal((await site.task.begin('k', 'a', startedAt + 200)).kind, 'unavailable')
+      assert.equal((await site.task.acquire('k', 'a', startedAt + 200)).kind, 'unavailable')
       assert.ok(performance.now() - startedAt < LOG_TIMEOUT_MILLISECONDS)
     }
   },
@@ -117,7 +117,7 @@
     name: 'an owner that loses its lease while it waits for the log lets nothing run',
     run: async site => {
       site.stream.setAway(true)
-      const pending = site.task.begin('k', 'a', performance.now() + 1500)
+      const pending = site.task.acquire('k', 'a', performance.now() + 1500)
       site.owner = false
       assert.equal((await pending).kind, 'unavailable')
     }
