--- a/src/entry/keyGate.ts
+++ b/src/entry/keyGate.ts
@@ -38,14 +38,14 @@
   /** An unknown outcome is not recorded: the key stays with the request until the window has passed. */
   private record (key: string, request: string, answer: ServingResult): ServingResult {
     if (answer.kind === 'error') {
-      if (answer.error.verdict === 'notRun') this.keys.end(key, request, { kind: 'notRun' })
+      if (answer.error.verdict === 'notRun') this.keys.recordOutcome(key, request, { kind: 'notRun' })
       return answer
     }
     const contentType = answer.headers['content-type']
     const ended = (body: Buffer | undefined): KeyOutcome => ({ kind: 'ended', status: answer.status, contentType: contentType === undefined ? undefined : String(contentType), bodyBase64: body?.toString('base64') })
     const copy = new BodyCopy()
     // The whole answer is passed on or the copy breaks off as the answer did.
-    pipeline(answer.body, copy, error => { this.keys.end(key, request, ended(error === null || error === undefined ? copy.whole : undefined)) })
+    pipeline(answer.body, copy, error => { this.keys.recordOutcome(key, request, ended(error === null || error === undefined ? copy.whole : undefined)) })
     return { ...answer, body: copy }
   }
 }
--- a/src/entry/keyTask.ts
+++ b/src/entry/keyTask.ts
@@ -66,14 +66,14 @@
       decision = await within(this.handle({ key, request, hops: 0 }), deadline - monotonicNow()) ?? UNAVAILABLE
     }
     // A decision to run may have been taken although its answer was lost.
-    if (decision.kind === 'unavailable') this.end(key, request, { kind: 'notRun' })
+    if (decision.kind === 'unavailable') this.recordOutcome(key, request, { kind: 'notRun' })
     // The second memory of a key whose record is not in the log yet; the same identity counts once.
     if (decision.kind === 'run' && decision.unlogged) this.appendStarted(key, request)
     return decision
   }
 
   /** Records the outcome of a request that was allowed to run. */
-  async end (key: string, request: string, outcome: KeyOutcome): Promise<void> {
+  async recordOutcome (key: string, request: string, outcome: KeyOutcome): Promise<void> {
     const home = this.homeOf(key)
     if (home === undefined) return
     const body: KeyRecord = outcome.kind === 'notRun'
--- a/test/entry/keyTask.test.ts
+++ b/test/entry/keyTask.test.ts
@@ -69,7 +69,7 @@
     run: async ({ task, stream }) => {
       const decisions = await Promise.all([task.acquire('k', 'a', LATER), task.acquire('k', 'b', LATER)])
       assert.deepEqual(decisions.map(({ kind }) => kind).sort(), ['outcomeUnknown', 'run'])
-      await task.end('k', 'a', { kind: 'ended', status: 201, bodyBase64: 'eA==' })
+      await task.recordOutcome('k', 'a', { kind: 'ended', status: 201, bodyBase64: 'eA==' })
       assert.equal((await task.acquire('k', 'c', LATER)).kind, 'recorded')
       assert.deepEqual(stream.appended, ['keyStarted', 'keyEnded'])
     }
@@ -78,7 +78,7 @@
     name: 'a request that was not run frees the key',
     run: async ({ task }) => {
       await task.acquire('k', 'a', LATER)
-      await task.end('k', 'a', { kind: 'notRun' })
+      await task.recordOutcome('k', 'a', { kind: 'notRun' })
       assert.equal((await task.acquire('k', 'b', LATER)).kind, 'run')
     }
   },
