--- a/src/entry/callerServer.ts
+++ b/src/entry/callerServer.ts
@@ -81,7 +81,7 @@
   }
 
   private async onPeerKeyRequest (event: H3Event): Promise<Response> {
-    const decision = await this.keys.onPeer(event.req)
+    const decision = await this.keys.handlePeerRequest(event.req)
     if (decision !== undefined) return Response.json(decision)
     return errorResponse({ code: 'unauthorized', verdict: 'notRun', message: 'the request carries no valid proof of a peer' })
   }
--- a/src/entry/keyTask.ts
+++ b/src/entry/keyTask.ts
@@ -83,7 +83,7 @@
   }
 
   /** Answers a peer's question; undefined if it proves no link key. */
-  async onPeer (request: Request): Promise<KeyDecision | undefined> {
+  async handlePeerRequest (request: Request): Promise<KeyDecision | undefined> {
     if (Number(request.headers.get('content-length') ?? Infinity) > MAXIMUM_MESSAGE_BYTES) return undefined
     const body = await request.text()
     const from = request.headers.get(FROM_HEADER) ?? ''
--- a/test/entry/callerServer.test.ts
+++ b/test/entry/callerServer.test.ts
@@ -105,7 +105,7 @@
   const client = owned.add(new HttpExecutorClient())
   const forwarder = new Forwarder(context, membership, owned.add(new HttpExecutorClient()))
   const requestDispatcher = owned.add(new RequestDispatcher(context, configuration, membership, slots, client, new LeastExpectedTimeChooser(), { requestSlots: () => {}, reportFreedSlots: () => {} }, new KeyGate({ acquire: async () => ({ kind: 'run', unlogged: false }), recordOutcome: async () => {} }), forwarder))
-  const server = owned.add(new CallerServer(configuration, requestDispatcher, {} as JobApi, { registerRoutes: () => {} } as unknown as OperatorApi, { onPeer: async () => undefined }, forwarder, () => true))
+  const server = owned.add(new CallerServer(configuration, requestDispatcher, {} as JobApi, { registerRoutes: () => {} } as unknown as OperatorApi, { handlePeerRequest: async () => undefined }, forwarder, () => true))
   const port = await server.listen('127.0.0.1', 0)
   return { port, origin: `http://127.0.0.1:${port}`, executors, slots, requestDispatcher }
 }
