--- a/src/entry/keyTask.ts
+++ b/src/entry/keyTask.ts
@@ -14,7 +14,7 @@
 import type { OwnershipTask } from './ownershipTask.js'
 
 /** Largest answer, in bytes, that is recorded for re-submissions. */
-export const RECORDED_ANSWER_BYTES = 4 * 1024
+export const MAXIMUM_RECORDED_RESPONSE_BYTES = 4 * 1024
 const PEER_PATH = '/peer/keys'
 const PEER_TIMEOUT_MILLISECONDS = 2500
 /** Time for an append and for reading it back, after which the log counts as away. */
