--- a/src/entry/callerServer.ts
+++ b/src/entry/callerServer.ts
@@ -15,7 +15,7 @@
 import type { Forwarder } from './forwarder.js'
 import { HttpServer } from '../links/httpServer.js'
 import { PEER_PROOF_HEADER } from '../links/peerProof.js'
-import type { KeyTask } from './keyTask.js'
+import type { IdempotencyKeyTask } from './keyTask.js'
 import type { JobApi } from './jobApi.js'
 import type { OperatorApi } from './operatorApi.js'
 
@@ -33,7 +33,7 @@
     private readonly requestDispatcher: RequestDispatcher,
     private readonly jobs: JobApi,
     private readonly operators: OperatorApi,
-    private readonly keys: Pick<KeyTask, 'onPeer'>,
+    private readonly keys: Pick<IdempotencyKeyTask, 'onPeer'>,
     private readonly forwarder: Forwarder,
     private readonly isReady: () => boolean
   ) {
--- a/src/entry/keyTask.ts
+++ b/src/entry/keyTask.ts
@@ -39,7 +39,7 @@
 ])
 
 /** Decides about idempotency keys whose home is the own failure domain, and asks the owner of the home about others. */
-export class KeyTask extends DisposableObject {
+export class IdempotencyKeyTask extends DisposableObject {
   private readonly keys = new IdempotencyKeys()
   private readonly appenders = new Map<string, LogAppender>()
 
--- a/src/programs/wiring.ts
+++ b/src/programs/wiring.ts
@@ -18,7 +18,7 @@
 import { JobApi } from '../entry/jobApi.js'
 import { JobTask } from '../entry/jobTask.js'
 import { KeyGate } from '../entry/keyGate.js'
-import { KeyTask } from '../entry/keyTask.js'
+import { IdempotencyKeyTask } from '../entry/keyTask.js'
 import { MembershipTask } from '../entry/membershipTask.js'
 import { MetricsRegistry } from '../entry/metricsRegistry.js'
 import { OperatorApi } from '../entry/operatorApi.js'
@@ -110,7 +110,7 @@
   const ownershipAppender = own(createAppender(domainStream('ownership', settings.failureDomain)))
   const ownership = own(new OwnershipTask(context, ownershipFollower, ownershipAppender, links, membership.membership))
   const slots = own(new SlotTask(context, ownership, configuration, membership.membership, links, () => frontDoor.demand(), () => frontDoor.hasUrgentWaiting))
-  const keys = own(new KeyTask(context, configuration, membership.membership, ownership, keyFollower, createAppender, agent, text => hashing.h64(text)))
+  const keys = own(new IdempotencyKeyTask(context, configuration, membership.membership, ownership, keyFollower, createAppender, agent, text => hashing.h64(text)))
   const forwarder = new Forwarder(context, membership.membership, own(connections.peers))
   const executorClient = own(connections.executors)
   const frontDoor: RequestDispatcher = own(new RequestDispatcher(context, configuration, membership.membership, slots.holder, executorClient, new LeastExpectedTimeChooser(), slots, new KeyGate(keys), forwarder))
--- a/test/entry/keyTask.test.ts
+++ b/test/entry/keyTask.test.ts
@@ -6,7 +6,7 @@
 import type { RecordBody, StoredRecord } from '../../src/contracts/records.js'
 import type { ConfigurationTask } from '../../src/entry/configurationTask.js'
 import type { EntryContext } from '../../src/entry/entryContext.js'
-import { KeyTask, LOG_TIMEOUT_MILLISECONDS } from '../../src/entry/keyTask.js'
+import { IdempotencyKeyTask, LOG_TIMEOUT_MILLISECONDS } from '../../src/entry/keyTask.js'
 import type { OwnershipTask } from '../../src/entry/ownershipTask.js'
 import type { LogAppender } from '../../src/links/logAppender.js'
 import type { LogFollower } from '../../src/links/logFollower.js'
@@ -46,17 +46,17 @@
 
 interface Site {
   readonly stream: FakeStream
-  readonly task: KeyTask
+  readonly task: IdempotencyKeyTask
   owner: boolean
 }
 
 function createSite (stream = new FakeStream()): Site {
   const context = { settings: { failureDomain: 'zone', instance: 'i', linkKeys: ['0123456789abcdef'] }, random: new Random(1) } as unknown as EntryContext
   const configuration = { inForce: { text: { failureDomains: { zone: {} }, limits: { idempotencyWindowMilliseconds: 600_000 } } } } as unknown as ConfigurationTask
-  const site = { stream, owner: true } as { stream: FakeStream, owner: boolean, task: KeyTask }
+  const site = { stream, owner: true } as { stream: FakeStream, owner: boolean, task: IdempotencyKeyTask }
   const ownership = { isOwner: () => site.owner, owner: { instance: 'i', incarnation: '1' } } as unknown as OwnershipTask
   const createAppender = (): LogAppender => ({ append: (body: RecordBody, _timeout: number, identity: string) => stream.append(body, identity), dispose: () => {} }) as unknown as LogAppender
-  site.task = new KeyTask(context, configuration, new Membership(), ownership, stream.follower as unknown as LogFollower, createAppender, new Agent(), () => 1n)
+  site.task = new IdempotencyKeyTask(context, configuration, new Membership(), ownership, stream.follower as unknown as LogFollower, createAppender, new Agent(), () => 1n)
   return site
 }
 
