--- a/src/entry/callerServer.ts
+++ b/src/entry/callerServer.ts
@@ -15,7 +15,7 @@
 import type { Forwarder } from './forwarder.js'
 import { HttpServer } from '../links/httpServer.js'
 import { PEER_PROOF_HEADER } from '../links/peerProof.js'
-import type { IdempotencyKeyTask } from './keyTask.js'
+import type { IdempotencyKeyTask } from './idempotencyKeyTask.js'
 import type { JobApi } from './jobApi.js'
 import type { OperatorApi } from './operatorApi.js'
 
--- a/src/entry/keyGate.ts
+++ b/src/entry/keyGate.ts
@@ -3,7 +3,7 @@
 import type { Service } from '../contracts/siteText.js'
 import { CALLER_HEADERS } from '../requests/headers.js'
 import { errorResult, isIdempotent, type ServingResult, type CallerRequest } from './callerRequest.js'
-import { MAXIMUM_RECORDED_RESPONSE_BYTES, type KeyOutcome, type IdempotencyKeyTask } from './keyTask.js'
+import { MAXIMUM_RECORDED_RESPONSE_BYTES, type KeyOutcome, type IdempotencyKeyTask } from './idempotencyKeyTask.js'
 
 const KEY_UNAVAILABLE: ServingError = { code: 'keyUnavailable', verdict: 'notRun', message: 'the idempotency key cannot be checked at the moment; send the request again with the same key', retryAfterSeconds: 2 }
 const OUTCOME_UNKNOWN: ServingError = { code: 'outcomeUnknown', verdict: 'mayHaveRun', message: 'a request with this idempotency key runs or may have run', retryAfterSeconds: 2 }
