--- a/src/entry/keyGate.ts
+++ b/src/entry/keyGate.ts
@@ -10,7 +10,7 @@
 const ALREADY_RAN: ServingError = { code: 'alreadyRan', verdict: 'ran', message: 'a request with this idempotency key has run; its answer is not kept' }
 
 /** Lets a non-idempotent request with an idempotency key run at most once, and records its answer. */
-export class KeyGate {
+export class IdempotencyGuard {
   constructor (private readonly keys: Pick<IdempotencyKeyTask, 'begin' | 'end'>) {}
 
   /** Runs the request, or answers it from what is known of its key. The instance that forwarded a request has checked its key. */
--- a/src/entry/requestDispatcher.ts
+++ b/src/entry/requestDispatcher.ts
@@ -15,7 +15,7 @@
 import type { ConfigurationTask } from './configurationTask.js'
 import { monotonicNow, type EntryContext } from './entryContext.js'
 import type { Forwarder } from './forwarder.js'
-import type { KeyGate } from './keyGate.js'
+import type { IdempotencyGuard } from './keyGate.js'
 import { RequestSender, type FailedAttempt } from './requestSender.js'
 
 /** Requests slots for the dispatcher and reports freed ones. */
@@ -62,7 +62,7 @@
     private readonly client: ExecutorClient,
     private readonly chooser: ExecutorChooser,
     private readonly slotRequester: SlotRequester,
-    private readonly keys: KeyGate,
+    private readonly keys: IdempotencyGuard,
     private readonly forwarder: Forwarder
   ) {
     super()
--- a/src/programs/wiring.ts
+++ b/src/programs/wiring.ts
@@ -17,7 +17,7 @@
 import { RequestDispatcher } from '../entry/requestDispatcher.js'
 import { JobApi } from '../entry/jobApi.js'
 import { JobTask } from '../entry/jobTask.js'
-import { KeyGate } from '../entry/keyGate.js'
+import { IdempotencyGuard } from '../entry/keyGate.js'
 import { IdempotencyKeyTask } from '../entry/idempotencyKeyTask.js'
 import { MembershipTask } from '../entry/membershipTask.js'
 import { MetricsRegistry } from '../entry/metricsRegistry.js'
@@ -113,7 +113,7 @@
   const keys = own(new IdempotencyKeyTask(context, configuration, membership.membership, ownership, keyFollower, createAppender, agent, text => hashing.h64(text)))
   const forwarder = new Forwarder(context, membership.membership, own(connections.peers))
   const executorClient = own(connections.executors)
-  const frontDoor: RequestDispatcher = own(new RequestDispatcher(context, configuration, membership.membership, slots.holder, executorClient, new LeastExpectedTimeChooser(), slots, new KeyGate(keys), forwarder))
+  const frontDoor: RequestDispatcher = own(new RequestDispatcher(context, configuration, membership.membership, slots.holder, executorClient, new LeastExpectedTimeChooser(), slots, new IdempotencyGuard(keys), forwarder))
   own(slots.onDidChangeGrants(() => frontDoor.dispatchAll()))
   const jobs = own(new JobTask(context, configuration, jobFollower, createAppender))
   own(new RetentionTask(context, ownership, configuration, jobs, configurationFollower, jobFollower, createAppender))
--- a/test/entry/callerServer.test.ts
+++ b/test/entry/callerServer.test.ts
@@ -13,7 +13,7 @@
 import type { EntryContext } from '../../src/entry/entryContext.js'
 import { Forwarder } from '../../src/entry/forwarder.js'
 import { RequestDispatcher } from '../../src/entry/requestDispatcher.js'
-import { KeyGate } from '../../src/entry/keyGate.js'
+import { IdempotencyGuard } from '../../src/entry/keyGate.js'
 import type { JobApi } from '../../src/entry/jobApi.js'
 import type { OperatorApi } from '../../src/entry/operatorApi.js'
 import { HttpExecutorClient } from '../../src/links/executorClient.js'
@@ -104,7 +104,7 @@
   slots.applyGrants({ sequence: 1, answersReport: sequence, validMilliseconds: 60_000, grants: [0, 1].map(index => ({ executor: `e${index}`, slots: 8, connections: 60 })) })
   const client = owned.add(new HttpExecutorClient())
   const forwarder = new Forwarder(context, membership, owned.add(new HttpExecutorClient()))
-  const requestDispatcher = owned.add(new RequestDispatcher(context, configuration, membership, slots, client, new LeastExpectedTimeChooser(), { requestSlots: () => {}, reportFreedSlots: () => {} }, new KeyGate({ acquire: async () => ({ kind: 'run', unlogged: false }), recordOutcome: async () => {} }), forwarder))
+  const requestDispatcher = owned.add(new RequestDispatcher(context, configuration, membership, slots, client, new LeastExpectedTimeChooser(), { requestSlots: () => {}, reportFreedSlots: () => {} }, new IdempotencyGuard({ acquire: async () => ({ kind: 'run', unlogged: false }), recordOutcome: async () => {} }), forwarder))
   const server = owned.add(new CallerServer(configuration, requestDispatcher, {} as JobApi, { registerRoutes: () => {} } as unknown as OperatorApi, { handlePeerRequest: async () => undefined }, forwarder, () => true))
   const port = await server.listen('127.0.0.1', 0)
   return { port, origin: `http://127.0.0.1:${port}`, executors, slots, requestDispatcher }
