--- a/src/entry/requestDispatcher.ts
+++ b/src/entry/requestDispatcher.ts
@@ -15,7 +15,7 @@
 import type { ConfigurationTask } from './configurationTask.js'
 import { monotonicNow, type EntryContext } from './entryContext.js'
 import type { Forwarder } from './forwarder.js'
-import type { IdempotencyGuard } from './keyGate.js'
+import type { IdempotencyGuard } from './idempotencyGuard.js'
 import { RequestSender, type FailedAttempt } from './requestSender.js'
 
 /** Requests slots for the dispatcher and reports freed ones. */
