--- a/src/entry/jobApi.ts
+++ b/src/entry/jobApi.ts
@@ -72,7 +72,7 @@
 
   private view (booked: RegisteredJob): JobView {
     const { job } = booked
-    const state = booked.outcome ?? this.placement.current?.stateOf(job.identity)?.state ?? 'waiting'
+    const state = booked.outcome ?? this.placement.currentScheduler?.stateOf(job.identity)?.state ?? 'waiting'
     return { job: job.identity, failureDomain: booked.failureDomain, name: job.name, kind: job.kind, team: job.team, state, tasks: job.tasks, reason: booked.reason }
   }
 }
--- a/src/entry/operatorApi.ts
+++ b/src/entry/operatorApi.ts
@@ -48,7 +48,7 @@
 
   private status (): Response {
     const { instance, failureDomain, region } = this.context.settings
-    const utilization = this.placement.current?.utilization()
+    const utilization = this.placement.currentScheduler?.utilization()
     const listAge = this.membership.ageMilliseconds(monotonicNow())
     return Response.json({
       instance,
@@ -80,7 +80,7 @@
     const job = this.jobs.registry.find(subject)
     if (job === undefined) return errorResponse({ code: 'unknownJob', verdict: 'notRun', message: `'${subject}' is not known to this instance` })
     if (job.outcome !== undefined) return Response.json({ subject, subjectKind: 'job', instance, explanation: `the job has ended: ${job.outcome}${job.reason === undefined ? '' : ` (${job.reason})`}` })
-    const scheduler = this.placement.current
+    const scheduler = this.placement.currentScheduler
     if (scheduler === undefined) {
       return Response.json({ subject, subjectKind: 'job', instance, owner: this.ownership.owner?.instance ?? 'none', explanation: `ask the owner of ${job.failureDomain}: ${this.ownership.owner?.instance ?? 'none at present'}` })
     }
--- a/src/entry/placementTask.ts
+++ b/src/entry/placementTask.ts
@@ -59,7 +59,7 @@
   }
 
   /** The scheduler while this instance owns the failure domain. */
-  get current (): Scheduler | undefined {
+  get currentScheduler (): Scheduler | undefined {
     return this.scheduler
   }
 
