--- a/src/entry/retentionTask.ts
+++ b/src/entry/retentionTask.ts
@@ -49,11 +49,11 @@
       if (body.type === 'jobAccepted') this.jobAnchors.set(body.job.identity, { offset, seenAt: monotonicNow() })
       if (body.type === 'jobEnded') this.jobAnchors.delete(body.job)
     }))
-    this.registerInterval(() => this.keep(), RETENTION_CHECK_MILLISECONDS)
+    this.registerInterval(() => this.reappendDue(), RETENTION_CHECK_MILLISECONDS)
   }
 
   /** Re-appends what is due. */
-  async keep (): Promise<void> {
+  async reappendDue (): Promise<void> {
     if (this.keeping || !this.ownership.isOwner() || !this.jobFollower.reachable || !this.configurationFollower.reachable) return
     this.keeping = true
     try {
--- a/test/entry/retentionTask.test.ts
+++ b/test/entry/retentionTask.test.ts
@@ -115,7 +115,7 @@
       if (round === RETAINED) await log.write(CONFIGURATION_STREAM, 'two', published(1, 'two'))
       await log.write(JOBS, `filler-${round}`, { type: 'jobCancelRequested', job: 'none' })
       await log.write(CONFIGURATION_STREAM, `loser-${round}`, published(0, 'loser'))
-      if (round % 5 === 0) await owner.retention.keep()
+      if (round % 5 === 0) await owner.retention.reappendDue()
       await settle()
     }
     const late = new Reader(log, false)
