--- a/src/entry/retentionTask.ts
+++ b/src/entry/retentionTask.ts
@@ -15,7 +15,7 @@
 const DEFAULT_RETENTION_RECORDS = 20_000
 const DEFAULT_RETENTION_MILLISECONDS = 86_400_000
 /** Period of the check for what is due; at most one batch of re-appends by time falls due in each. */
-export const RETENTION_CHECK_MILLISECONDS = 5000
+export const RETENTION_CHECK_INTERVAL_MILLISECONDS = 5000
 const APPEND_TIMEOUT_MILLISECONDS = 3000
 
 /**
@@ -49,7 +49,7 @@
       if (body.type === 'jobAccepted') this.jobAnchors.set(body.job.identity, { offset, seenAt: monotonicNow() })
       if (body.type === 'jobEnded') this.jobAnchors.delete(body.job)
     }))
-    this.registerInterval(() => this.reappendDue(), RETENTION_CHECK_MILLISECONDS)
+    this.registerInterval(() => this.reappendDue(), RETENTION_CHECK_INTERVAL_MILLISECONDS)
   }
 
   /** Re-appends what is due. */
--- a/test/zones/appendBudget.test.ts
+++ b/test/zones/appendBudget.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { readFileSync } from 'node:fs'
 import { describe, it } from 'node:test'
-import { RETENTION_CHECK_MILLISECONDS } from '../../src/entry/retentionTask.js'
+import { RETENTION_CHECK_INTERVAL_MILLISECONDS } from '../../src/entry/retentionTask.js'
 import { OWNERSHIP_TIMINGS } from '../../src/zones/ownership.js'
 import { REAPPEND_SHARE } from '../../src/zones/retention.js'
 
@@ -30,7 +30,7 @@
   { kind: 'published configurations', appendsPerSecond: CONFIGURATION_CHANGES_PER_DAY / SECONDS_PER_DAY },
   { kind: 'restated configuration', appendsPerSecond: CONFIGURATION_CHANGES_PER_DAY / SECONDS_PER_DAY / (RETAINED_RECORDS * REAPPEND_SHARE) },
   { kind: 'open jobs re-appended by count', appendsPerSecond: FAILURE_DOMAINS * Math.ceil(openJobsPerDomain / REAPPEND_BATCH_RECORDS) / reappendIntervalSeconds },
-  { kind: 'open jobs re-appended by time', appendsPerSecond: FAILURE_DOMAINS * 1000 / RETENTION_CHECK_MILLISECONDS }
+  { kind: 'open jobs re-appended by time', appendsPerSecond: FAILURE_DOMAINS * 1000 / RETENTION_CHECK_INTERVAL_MILLISECONDS }
 ]
 
 /** Guards against a change of a constant that exceeds the append rate of the platform, and against outdated documentation. */
