--- a/src/entry/callerServer.ts
+++ b/src/entry/callerServer.ts
@@ -33,7 +33,7 @@
     private readonly requestDispatcher: RequestDispatcher,
     private readonly jobs: JobApi,
     private readonly operators: OperatorApi,
-    private readonly keys: Pick<IdempotencyKeyTask, 'onPeer'>,
+    private readonly keys: Pick<IdempotencyKeyTask, 'handlePeerRequest'>,
     private readonly forwarder: Forwarder,
     private readonly isReady: () => boolean
   ) {
