--- a/src/entry/idempotencyGuard.ts
+++ b/src/entry/idempotencyGuard.ts
@@ -11,7 +11,7 @@
 
 /** Lets a non-idempotent request with an idempotency key run at most once, and records its answer. */
 export class IdempotencyGuard {
-  constructor (private readonly keys: Pick<IdempotencyKeyTask, 'acquire' | 'end'>) {}
+  constructor (private readonly keys: Pick<IdempotencyKeyTask, 'acquire' | 'recordOutcome'>) {}
 
   /** Runs the request, or answers it from what is known of its key. The instance that forwarded a request has checked its key. */
   async serve (request: CallerRequest, service: Service, run: () => Promise<ServingResult>): Promise<ServingResult> {
