--- a/src/entry/configurationTask.ts
+++ b/src/entry/configurationTask.ts
@@ -17,9 +17,9 @@
   | { readonly kind: 'closed', readonly peer: string }
   | { readonly kind: 'tick' }
 
-/** Wait for the log before the text is asked of a peer, so that instances that reach the log transfer no text by link. */
+/** Delay before a configuration is requested from a peer, so that instances that can read the log transfer none over links. */
 const RELAY_DELAY_MILLISECONDS = 500
-const RELAY_PERIOD_MILLISECONDS = 500
+const RELAY_CHECK_INTERVAL_MILLISECONDS = 500
 
 interface Announcement {
   readonly revision: number
@@ -27,7 +27,7 @@
   readonly receivedAt: number
 }
 
-/** Owns the site text in force: follows the log, announces each revision to peers by its digest, and asks a peer for a text that the log does not bring in time. */
+/** Maintains the site configuration in force: follows the log, announces each revision to peers by its digest, and requests from a peer a configuration that the log does not deliver in time. */
 export class ConfigurationTask extends Task<ConfigurationMessage> {
   private readonly history = new ConfigurationHistory()
   private readonly announcements = new Map<string, Announcement>()
@@ -47,7 +47,7 @@
       if (message.type === 'configurationText') this.post({ kind: 'received', revision: message.revision, source: message.text, from: from.instance })
     }))
     this.register(links.onDidClose(peer => this.post({ kind: 'closed', peer: peer.instance })))
-    this.registerInterval(() => this.post({ kind: 'tick' }), RELAY_PERIOD_MILLISECONDS)
+    this.registerInterval(() => this.post({ kind: 'tick' }), RELAY_CHECK_INTERVAL_MILLISECONDS)
     this.register(links.onDidOpen(peer => this.announceTo(peer.instance)))
   }
 
@@ -55,18 +55,18 @@
     return this.history.inForce
   }
 
-  /** Returns the record that restates the text in force, if it is known to be the decided one. */
+  /** Returns the record that restates the configuration in force, or undefined while that is not known to be the decided one. */
   restatement (): ReturnType<ConfigurationHistory['restatement']> {
     return this.history.restatement()
   }
 
-  /** Resolves once the task can compute digests; compiling the hash takes real time, which a paused clock does not show. */
+  /** Resolves once the task can compute digests. Compiling the hash function takes real time, which a fake clock does not simulate. */
   async whenReady (): Promise<void> {
     await this.hasher
   }
 
   protected override async handle (message: ConfigurationMessage): Promise<void> {
-    const before = this.inForce?.revision ?? 0
+    const previousRevision = this.inForce?.revision ?? 0
     switch (message.kind) {
       case 'truncated':
         this.history.markTruncated(message.retainedFrom)
@@ -78,19 +78,19 @@
         this.announcements.set(message.from, { revision: message.revision, digest: message.digest, receivedAt: monotonicNow() })
         return
       case 'requested':
-        this.sendTextTo(message.from)
+        this.sendConfigurationTo(message.from)
         return
       case 'closed':
         this.announcements.delete(message.peer)
         return
       case 'tick':
-        this.requestMissingText()
+        this.requestMissingConfiguration()
         return
       case 'received':
-        await this.learn(message)
+        await this.applyRelayed(message)
     }
     const current = this.inForce
-    if (current === undefined || current.revision === before) return
+    if (current === undefined || current.revision === previousRevision) return
     this.context.logger.info('configuration in force', { revision: current.revision })
     this.context.events.record('configurationInForce', { revision: current.revision })
     this.didChange.fire(current)
@@ -108,28 +108,28 @@
     }
   }
 
-  /** Takes over a text that a peer relays if it is the one that the peer has announced. */
-  private async learn (message: Extract<ConfigurationMessage, { kind: 'received' }>): Promise<void> {
+  /** Applies a configuration that a peer relays, unless its digest differs from the one that the peer has announced for the revision. */
+  private async applyRelayed (message: Extract<ConfigurationMessage, { kind: 'received' }>): Promise<void> {
     const announced = this.announcements.get(message.from)
     if (announced?.revision === message.revision && announced.digest !== (await this.hasher).h64ToString(message.source)) {
-      this.context.logger.warn('a relayed text does not have the announced digest', { peer: message.from, revision: message.revision })
+      this.context.logger.warn('a relayed configuration does not have the announced digest', { peer: message.from, revision: message.revision })
       return
     }
     if (this.history.learn(message.revision, message.source)) this.context.logger.info('learned a configuration from a peer', { peer: message.from, revision: message.revision })
   }
 
-  /** Asks one of the peers that have announced the greatest revision, if the log has not brought it. */
-  private requestMissingText (): void {
-    const own = this.inForce?.revision ?? 0
-    const due = monotonicNow() - RELAY_DELAY_MILLISECONDS
-    const candidates = [...this.announcements].filter(([, { revision, receivedAt }]) => revision > own && receivedAt <= due)
+  /** Requests a configuration that the log has not delivered from one of the peers that have announced the greatest revision. */
+  private requestMissingConfiguration (): void {
+    const ownRevision = this.inForce?.revision ?? 0
+    const latestReceipt = monotonicNow() - RELAY_DELAY_MILLISECONDS
+    const candidates = [...this.announcements].filter(([, { revision, receivedAt }]) => revision > ownRevision && receivedAt <= latestReceipt)
     if (candidates.length === 0) return
-    const greatest = Math.max(...candidates.map(([, { revision }]) => revision))
-    const holders = candidates.filter(([, { revision }]) => revision === greatest).map(([peer]) => peer)
-    this.links.send(this.context.random.pick(holders), { type: 'configurationRequest', logicalTime: this.context.events.clock.tick() })
+    const greatestRevision = Math.max(...candidates.map(([, { revision }]) => revision))
+    const announcers = candidates.filter(([, { revision }]) => revision === greatestRevision).map(([peer]) => peer)
+    this.links.send(this.context.random.pick(announcers), { type: 'configurationRequest', logicalTime: this.context.events.clock.tick() })
   }
 
-  private sendTextTo (peer: string): void {
+  private sendConfigurationTo (peer: string): void {
     const current = this.inForce
     if (current === undefined) return
     this.links.send(peer, { type: 'configurationText', logicalTime: this.context.events.clock.tick(), revision: current.revision, text: current.source })
--- a/src/entry/ownershipTask.ts
+++ b/src/entry/ownershipTask.ts
@@ -22,20 +22,20 @@
   | { readonly kind: 'promise', readonly from: PeerIdentity, readonly message: LinkMessageOf<'promise'> }
 
 const TICK_MILLISECONDS = 100
-/** Time after which a renewal or claim that has not been answered is given up; the next one replaces it. */
+/** Time after which an unconfirmed renewal or claim is abandoned; the next one replaces it. */
 const APPEND_TIMEOUT_MILLISECONDS = 1000
 const JOIN_TIMEOUT_MILLISECONDS = 5000
-/** Age of the instance list, plus its own lag, after which it is not used to tell that instances are gone. */
-const LIST_FRESHNESS_MILLISECONDS = 3000
+/** Maximum age of the instance list, in addition to its own lag, at which an instance that is not listed is considered gone. */
+const MAXIMUM_LIST_AGE_MILLISECONDS = 3000
 
-/** Owns this instance's part in the ownership of its failure domain. */
+/** Runs the ownership protocol of the failure domain on behalf of this instance. */
 export class OwnershipTask extends Task<OwnershipMessage> {
   private readonly rules: Ownership
   private wasOwner = false
   private joined = false
   private joining = false
   private probing = false
-  private tellsOwnership = false
+  private hasOwnershipRecord = false
   private logCurrentAt = -Infinity
   private readonly didChange = new Emitter<boolean>()
   /** Fires when this instance becomes owner (true) or ceases to be (false). */
@@ -61,7 +61,7 @@
     this.registerInterval(() => this.post({ kind: 'tick' }), TICK_MILLISECONDS)
   }
 
-  /** Whether this instance may act as owner at this moment; to be asked right before each act. */
+  /** Returns whether this instance may act as owner now. Must be checked right before each such action. */
   isOwner (): boolean {
     return this.rules.isOwner(monotonicNow())
   }
@@ -74,11 +74,11 @@
     return this.rules.currentOwner
   }
 
-  /** Gives ownership up on a planned stop; resolves when the record is in the log or `timeoutMilliseconds` have passed. */
+  /** Releases ownership on a graceful shutdown. Resolves when the record is in the log or `timeoutMilliseconds` have passed. */
   async release (timeoutMilliseconds: number): Promise<void> {
     const body = this.rules.release()
     if (body === undefined) return
-    this.noteOwnerChange()
+    this.notifyOwnerChange()
     this.context.events.record('ownershipReleased', { failureDomain: this.context.settings.failureDomain, term: this.rules.term })
     await this.appender.append(body, timeoutMilliseconds)
   }
@@ -99,7 +99,7 @@
         this.rules.markTruncated(message.retainedFrom)
         break
       case 'caughtUp':
-        this.rules.markCaughtUp(this.tellsOwnership)
+        this.rules.markCaughtUp(this.hasOwnershipRecord)
         break
       case 'renewalSettled':
         this.rules.renewalSettled()
@@ -112,7 +112,7 @@
       case 'tick':
         this.onTick(now)
     }
-    this.noteOwnerChange()
+    this.notifyOwnerChange()
   }
 
   protected override handleFailure (message: OwnershipMessage, error: unknown): void {
@@ -120,11 +120,11 @@
   }
 
   private onRecord (record: StoredRecord, now: number): void {
-    const before = this.rules.term
+    const previousTerm = this.rules.term
     this.rules.onRecord(record, now)
-    if (record.body.type !== 'instanceJoined') this.tellsOwnership = true
+    if (record.body.type !== 'instanceJoined') this.hasOwnershipRecord = true
     if (record.body.type === 'instanceJoined' && record.body.incarnation === this.context.incarnation) this.joined = true
-    if (this.rules.term === before || this.rules.currentOwner?.incarnation !== this.context.incarnation) return
+    if (this.rules.term === previousTerm || this.rules.currentOwner?.incarnation !== this.context.incarnation) return
     this.context.logger.info('claimed the failure domain', { failureDomain: this.context.settings.failureDomain, term: this.rules.term })
     this.context.events.record('ownershipClaimed', { failureDomain: this.context.settings.failureDomain, term: this.rules.term })
   }
@@ -135,7 +135,7 @@
       this.join()
       return
     }
-    const view = { isGone: (holder: InstanceIdentity) => this.isGone(holder, now), logCurrentAt: this.logCurrentAt }
+    const view = { isGone: (identity: InstanceIdentity) => this.isGone(identity, now), logCurrentAt: this.logCurrentAt }
     for (const action of this.rules.tick(now, view)) this.perform(action)
   }
 
@@ -197,12 +197,12 @@
     this.links.send(from.instance, { type: 'promise', logicalTime: this.context.events.clock.tick(), failureDomain: message.failureDomain, term: message.term, request: message.request, granted })
   }
 
-  private isGone (holder: InstanceIdentity, now: number): boolean {
-    if (this.links.peers().some(peer => instanceKey(peer) === instanceKey(holder))) return false
-    return this.membership.ageMilliseconds(now) < LIST_FRESHNESS_MILLISECONDS && this.membership.find(holder.instance) === undefined
+  private isGone (identity: InstanceIdentity, now: number): boolean {
+    if (this.links.peers().some(peer => instanceKey(peer) === instanceKey(identity))) return false
+    return this.membership.ageMilliseconds(now) < MAXIMUM_LIST_AGE_MILLISECONDS && this.membership.find(identity.instance) === undefined
   }
 
-  private noteOwnerChange (): void {
+  private notifyOwnerChange (): void {
     const isOwner = this.isOwner()
     if (isOwner === this.wasOwner) return
     this.wasOwner = isOwner
@@ -213,7 +213,7 @@
   }
 }
 
-/** Time from a takeover until tasks that an earlier owner may have started on silent workers have certainly ended, in milliseconds. */
+/** Returns the time from a takeover until tasks that an earlier owner may have started on silent workers have certainly ended, in milliseconds. */
 export function silentWorkerBoundMilliseconds (taskLeaseMilliseconds: number, marginMilliseconds: number): number {
   return OWNERSHIP_TIMINGS.leaseDuration + OWNERSHIP_TIMINGS.driftMargin + taskLeaseMilliseconds + marginMilliseconds
 }
