--- a/src/entry/jobApi.ts
+++ b/src/entry/jobApi.ts
@@ -10,7 +10,7 @@
 
 const FORWARD_TIMEOUT_MILLISECONDS = 2000
 
-/** A job as callers read it. */
+/** A job as shown to callers. */
 export interface JobView {
   readonly job: string
   readonly failureDomain: string
@@ -22,7 +22,7 @@
   readonly reason?: string
 }
 
-/** HTTP answers about jobs. Reads of a job of another failure domain go to an entry instance there. */
+/** Serves HTTP requests about jobs. Reads of a job of another failure domain are forwarded to an entry instance there. */
 export class JobApi {
   constructor (
     private readonly context: EntryContext,
@@ -40,14 +40,14 @@
     return toResponse(await this.jobs.cancel(identity))
   }
 
-  /** Jobs of the own failure domain. */
+  /** Returns the jobs of the own failure domain. */
   list (): Response {
-    return Response.json({ failureDomain: this.context.settings.failureDomain, jobs: this.jobs.registry.allJobs().map(booked => this.view(booked)) })
+    return Response.json({ failureDomain: this.context.settings.failureDomain, jobs: this.jobs.registry.allJobs().map(registered => this.view(registered)) })
   }
 
   async read (identity: string, forwarded: boolean): Promise<Response> {
-    const booked = this.jobs.registry.find(identity)
-    if (booked !== undefined) return Response.json(this.view(booked))
+    const registered = this.jobs.registry.find(identity)
+    if (registered !== undefined) return Response.json(this.view(registered))
     const failureDomain = failureDomainOf(identity)
     if (forwarded || failureDomain === undefined || failureDomain === this.context.settings.failureDomain) {
       return errorResponse({ code: 'unknownJob', verdict: 'notRun', message: `there is no job '${identity}'` })
@@ -59,10 +59,10 @@
     const peers = this.membership.entries().filter(entry => entry.failureDomain === failureDomain && entry.state === 'live')
     for (const peer of peers) {
       try {
-        const answer = await request(`${peer.callerAddress}/jobs/${encodeURIComponent(identity)}`, {
+        const response = await request(`${peer.callerAddress}/jobs/${encodeURIComponent(identity)}`, {
           dispatcher: this.agent, headers: { [CALLER_HEADERS.forwardedFrom]: this.context.settings.instance }, headersTimeout: FORWARD_TIMEOUT_MILLISECONDS, bodyTimeout: FORWARD_TIMEOUT_MILLISECONDS
         })
-        return new Response(await answer.body.text(), { status: answer.statusCode, headers: { 'content-type': 'application/json' } })
+        return new Response(await response.body.text(), { status: response.statusCode, headers: { 'content-type': 'application/json' } })
       } catch {
         this.context.logger.debug('forwarding a read of a job failed', { peer: peer.name, job: identity })
       }
@@ -70,14 +70,14 @@
     return errorResponse({ code: 'notReady', verdict: 'notRun', message: `failure domain '${failureDomain}' cannot be reached`, retryAfterSeconds: 2 })
   }
 
-  private view (booked: RegisteredJob): JobView {
-    const { job } = booked
-    const state = booked.outcome ?? this.placement.currentScheduler?.stateOf(job.identity)?.state ?? 'waiting'
-    return { job: job.identity, failureDomain: booked.failureDomain, name: job.name, kind: job.kind, team: job.team, state, tasks: job.tasks, reason: booked.reason }
+  private view (registered: RegisteredJob): JobView {
+    const { job } = registered
+    const state = registered.outcome ?? this.placement.currentScheduler?.stateOf(job.identity)?.state ?? 'waiting'
+    return { job: job.identity, failureDomain: registered.failureDomain, name: job.name, kind: job.kind, team: job.team, state, tasks: job.tasks, reason: registered.reason }
   }
 }
 
-function toResponse (answer: JobRequestResult): Response {
-  if (answer.kind === 'error') return errorResponse(answer.error)
-  return Response.json({ job: answer.job, failureDomain: answer.failureDomain }, { status: 202 })
+function toResponse (result: JobRequestResult): Response {
+  if (result.kind === 'error') return errorResponse(result.error)
+  return Response.json({ job: result.job, failureDomain: result.failureDomain }, { status: 202 })
 }
--- a/src/entry/jobTask.ts
+++ b/src/entry/jobTask.ts
@@ -13,22 +13,22 @@
 import type { ConfigurationTask } from './configurationTask.js'
 import type { EntryContext } from './entryContext.js'
 
-/** Outcome of a submission or cancellation. */
+/** Result of a request to submit or cancel a job. */
 export type JobRequestResult =
   | { readonly kind: 'accepted', readonly job: string, readonly failureDomain: string }
   | { readonly kind: 'error', readonly error: ServingError }
 
 const APPEND_TIMEOUT_MILLISECONDS = 3000
-const KEPT_ENDED_JOBS = 10_000
+const MAXIMUM_ENDED_JOBS = 10_000
 
-/** Accepts jobs into the log and follows the jobs of the own failure domain. */
+/** Accepts jobs by appending them to the log, and tracks the jobs of the own failure domain. */
 export class JobTask extends DisposableObject {
-  readonly registry = new JobRegistry(KEPT_ENDED_JOBS)
+  readonly registry = new JobRegistry(MAXIMUM_ENDED_JOBS)
   private readonly appenders = new Map<string, LogAppender>()
-  /** Jobs whose end has been sent and not yet read back. */
+  /** Jobs whose end record has been sent and not yet read back. */
   private readonly ending = new Set<string>()
   private readonly didChange = new Emitter<RecordBody>()
-  /** Fires after a record of the own failure domain's jobs has been applied. */
+  /** Fires after a record about jobs of the own failure domain has been applied. */
   readonly onDidChangeJobs: Event<RecordBody> = this.didChange.event
 
   constructor (
@@ -47,14 +47,14 @@
     }))
   }
 
-  /** Accepts a job once it is in the log. The same idempotency key gives the same job. */
+  /** Accepts a job once it is in the log. Submissions of a team with the same idempotency key result in the same job. */
   async submit (submission: JobSubmission, idempotencyKey: string | undefined): Promise<JobRequestResult> {
     const text = this.configuration.inForce?.text
     if (text === undefined) return failure({ code: 'notReady', verdict: 'notRun', message: 'no configuration is in force yet', retryAfterSeconds: 1 })
-    const problem = checkSubmission(submission, text)
+    const problem = validateSubmission(submission, text)
     if (problem !== undefined) return failure(problem)
     const seed = idempotencyKey === undefined ? randomUUID() : createHash('sha256').update(`${submission.team}\n${idempotencyKey}`).digest('hex').slice(0, 32)
-    const failureDomain = chooseFailureDomain(submission, text, seed)
+    const failureDomain = selectFailureDomain(submission, text, seed)
     if (failureDomain === undefined) return failure({ code: 'jobNeverFits', verdict: 'notRun', message: neverFitsMessage(submission) })
     const identity = `${failureDomain}.${seed}`
     const job: Job = { ...submission, identity, acceptedAtMilliseconds: Date.now() }
@@ -86,31 +86,32 @@
     return this.follower.hasCaughtUp
   }
 
-  /** Appends finished tasks of an open job. */
+  /** Appends a record of finished tasks of an open job. */
   async recordProgress (body: Extract<RecordBody, { type: 'jobProgress' }>, identity: string): Promise<boolean> {
     return await this.append(this.context.settings.failureDomain, body, `progress:${identity}`) === 'appended'
   }
 
   /**
-   * Repeats the record of an open job with its original identity, its cancellation if there is one, and its finished
-   * tasks, which must not run again. Resolves with whether all are in the log. A job whose end has been sent is left alone, so that a late starter never reads the acceptance after the end.
+   * Re-appends the acceptance of an open job with its original identity, its cancellation if there is one, and its
+   * finished tasks, which must not run again. Resolves with whether all are in the log. A job whose end record has been
+   * sent is skipped, so that an instance that starts later never reads the acceptance after the end.
    */
   async reappend (identity: string): Promise<boolean> {
-    const booked = this.registry.find(identity)
-    if (booked === undefined || booked.outcome !== undefined || this.ending.has(identity)) return false
-    const { failureDomain } = booked
-    const accepted = this.append(failureDomain, { type: 'jobAccepted', job: booked.job, failureDomain }, `job:${identity}`)
-    const cancelled = booked.cancelRequested ? this.append(failureDomain, { type: 'jobCancelRequested', job: identity }, `cancel:${identity}`) : 'appended'
-    const progressed = booked.finished.size > 0 ? this.reappendProgress(booked) : 'appended'
+    const registered = this.registry.find(identity)
+    if (registered === undefined || registered.outcome !== undefined || this.ending.has(identity)) return false
+    const { failureDomain } = registered
+    const accepted = this.append(failureDomain, { type: 'jobAccepted', job: registered.job, failureDomain }, `job:${identity}`)
+    const cancelled = registered.cancelRequested ? this.append(failureDomain, { type: 'jobCancelRequested', job: identity }, `cancel:${identity}`) : 'appended'
+    const progressed = registered.finished.size > 0 ? this.reappendProgress(registered) : 'appended'
     return (await Promise.all([accepted, cancelled, progressed])).every(outcome => outcome === 'appended')
   }
 
-  /** Finished tasks only grow in number, so that their count identifies the record. */
+  /** Re-appends the finished tasks of a job. Their number never decreases, so that it identifies the record. */
   private async reappendProgress ({ job, failureDomain, finished }: RegisteredJob): Promise<AppendOutcome> {
     return await this.append(failureDomain, { type: 'jobProgress', job: job.identity, finished: toIndexRanges(finished) }, `progress:${job.identity}:${finished.size}`)
   }
 
-  /** Appends the end of a job. */
+  /** Appends the end record of a job. */
   async recordEnd (identity: string, body: Extract<RecordBody, { type: 'jobEnded' }>): Promise<boolean> {
     this.ending.add(identity)
     return await this.append(this.context.settings.failureDomain, body, `end:${identity}`) === 'appended'
@@ -127,13 +128,13 @@
   }
 }
 
-/** Failure domain that a job's identity names. */
+/** Returns the failure domain that the identity of a job names. */
 export function failureDomainOf (identity: string): string | undefined {
   const dot = identity.indexOf('.')
   return dot > 0 ? identity.slice(0, dot) : undefined
 }
 
-function checkSubmission (submission: JobSubmission, text: SiteText): ServingError | undefined {
+function validateSubmission (submission: JobSubmission, text: SiteText): ServingError | undefined {
   if (!(submission.team in text.teams)) {
     return { code: 'malformedRequest', verdict: 'notRun', message: `team: unknown team '${submission.team}'` }
   }
@@ -143,8 +144,8 @@
   return undefined
 }
 
-/** Chooses, by the seed, one of the failure domains that could carry the job. */
-function chooseFailureDomain (submission: JobSubmission, text: SiteText, seed: string): string | undefined {
+/** Selects, by the seed, one of the failure domains whose workers could ever run the job. */
+function selectFailureDomain (submission: JobSubmission, text: SiteText, seed: string): string | undefined {
   const candidates = Object.keys(text.failureDomains)
     .filter(domain => submission.failureDomain === undefined || domain === submission.failureDomain)
     .filter(domain => couldEverFit(submission, workerCapacities(text, domain)))
@@ -153,7 +154,7 @@
   return candidates[Number.parseInt(seed.slice(0, 8), 16) % candidates.length]
 }
 
-/** Capacities of the workers that the site text gives a failure domain. */
+/** Returns the capacities of the workers that the site configuration defines for a failure domain. */
 export function workerCapacities (text: SiteText, failureDomain: string): Resources[] {
   const capacities: Resources[] = []
   for (const pool of Object.values(text.workerPools)) {
--- a/src/entry/placementTask.ts
+++ b/src/entry/placementTask.ts
@@ -24,24 +24,24 @@
   | { readonly kind: 'startOutcome', readonly decision: Extract<SchedulingDecision, { kind: 'start' }>, readonly outcome: CommandOutcome }
 
 const TICK_MILLISECONDS = 100
-/** Finished tasks of open jobs are recorded in the log this often, in milliseconds. */
-const PROGRESS_PERIOD_MILLISECONDS = 3000
-/** Jobs read within this time after a takeover may have been read and placed by the earlier owner before, in milliseconds. */
-const LATE_RECORDS_MILLISECONDS = 5000
-/** Time after a takeover for reading the records of jobs that workers report, in milliseconds. */
+/** Interval at which finished tasks of open jobs are recorded in the log, in milliseconds. */
+const PROGRESS_INTERVAL_MILLISECONDS = 3000
+/** Time after a takeover in which a job read from the log may already have been placed by the previous owner, in milliseconds. */
+const POSSIBLY_PLACED_MILLISECONDS = 5000
+/** Time after a takeover for reading the records of jobs that workers report, before attempts without an open job are stopped, in milliseconds. */
 const ORPHAN_GRACE_MILLISECONDS = 10_000
-const STARTS_PER_TICK = 200
-/** Most renewals sent a second; with more workers than that, each is renewed less often. */
-const RENEWALS_PER_SECOND = 100
-const RENEWAL_PERIOD_MILLISECONDS = 500
+const MAXIMUM_STARTS_PER_TICK = 200
+/** Maximum number of lease renewals sent per second. With more workers than that, each is renewed less often. */
+const MAXIMUM_RENEWALS_PER_SECOND = 100
+const MINIMUM_RENEWAL_INTERVAL_MILLISECONDS = 500
 
-/** As owner of the failure domain, places tasks on its workers and keeps their leases. */
+/** As owner of the failure domain, places tasks on its workers and renews their leases. */
 export class PlacementTask extends Task<PlacementMessage> {
   private scheduler: Scheduler | undefined
   private term = 0
-  private renewedAt = -Infinity
+  private lastRenewalAt = -Infinity
   private ownerSince = -Infinity
-  private progressAt = -Infinity
+  private lastProgressAt = -Infinity
   private readonly renewing = new Set<string>()
 
   constructor (
@@ -58,7 +58,7 @@
     this.registerInterval(() => this.post({ kind: 'tick' }), TICK_MILLISECONDS)
   }
 
-  /** The scheduler while this instance owns the failure domain. */
+  /** The scheduler while this instance owns the failure domain; otherwise undefined. */
   get currentScheduler (): Scheduler | undefined {
     return this.scheduler
   }
@@ -95,19 +95,19 @@
     this.term = this.ownership.term
     this.ownerSince = now
     const firstOwner = this.term === 1
-    const lapseAt = firstOwner ? now : now + silentWorkerBoundMilliseconds(TASK_LEASE_MILLISECONDS, TASK_LEASE_MARGIN_MILLISECONDS)
-    this.scheduler = new Scheduler(this.term, lapseAt, new BestFitPolicy())
-    for (const booked of this.jobs.registry.openJobs()) {
-      this.scheduler.addJob(booked.job, now, !firstOwner)
-      this.scheduler.onProgress(booked.job.identity, booked.finished, now)
-      if (booked.cancelRequested) this.scheduler.cancelJob(booked.job.identity)
+    const silentWorkersLapseAt = firstOwner ? now : now + silentWorkerBoundMilliseconds(TASK_LEASE_MILLISECONDS, TASK_LEASE_MARGIN_MILLISECONDS)
+    this.scheduler = new Scheduler(this.term, silentWorkersLapseAt, new BestFitPolicy())
+    for (const registered of this.jobs.registry.openJobs()) {
+      this.scheduler.addJob(registered.job, now, !firstOwner)
+      this.scheduler.onProgress(registered.job.identity, registered.finished, now)
+      if (registered.cancelRequested) this.scheduler.cancelJob(registered.job.identity)
     }
   }
 
   private onJobChanged (body: RecordBody, now: number): void {
     const { scheduler } = this
     if (scheduler === undefined) return
-    if (body.type === 'jobAccepted' && this.jobs.registry.find(body.job.identity)?.outcome === undefined) scheduler.addJob(body.job, now, this.term > 1 && now - this.ownerSince < LATE_RECORDS_MILLISECONDS)
+    if (body.type === 'jobAccepted' && this.jobs.registry.find(body.job.identity)?.outcome === undefined) scheduler.addJob(body.job, now, this.term > 1 && now - this.ownerSince < POSSIBLY_PLACED_MILLISECONDS)
     if (body.type === 'jobCancelRequested') scheduler.cancelJob(body.job)
     if (body.type === 'jobProgress') scheduler.onProgress(body.job, expandIndexRanges(body.finished, this.jobs.registry.find(body.job)?.job.tasks ?? 0), now)
     if (body.type === 'jobEnded') scheduler.forgetJob(body.job)
@@ -137,13 +137,13 @@
     this.renewLeases(scheduler, listed.length, now)
     if (listed.length === 0) return
     if (this.jobs.hasCaughtUp && now - this.ownerSince > ORPHAN_GRACE_MILLISECONDS) scheduler.resolveOrphans(now)
-    for (const decision of scheduler.decide(now, STARTS_PER_TICK)) this.perform(decision)
-    if (now - this.progressAt >= PROGRESS_PERIOD_MILLISECONDS) this.recordProgress(scheduler, now)
+    for (const decision of scheduler.decide(now, MAXIMUM_STARTS_PER_TICK)) this.perform(decision)
+    if (now - this.lastProgressAt >= PROGRESS_INTERVAL_MILLISECONDS) this.recordProgress(scheduler, now)
   }
 
   /** Records finished tasks of open jobs, all jobs in one append, so that a later owner does not run them again. */
   private recordProgress (scheduler: Scheduler, now: number): void {
-    this.progressAt = now
+    this.lastProgressAt = now
     for (const [job, finished] of scheduler.takeProgress()) this.appendProgress(job, finished)
   }
 
@@ -156,9 +156,9 @@
   }
 
   private renewLeases (scheduler: Scheduler, workerCount: number, now: number): void {
-    const period = Math.max(RENEWAL_PERIOD_MILLISECONDS, workerCount * 1000 / RENEWALS_PER_SECOND)
-    if (now - this.renewedAt < period) return
-    this.renewedAt = now
+    const period = Math.max(MINIMUM_RENEWAL_INTERVAL_MILLISECONDS, workerCount * 1000 / MAXIMUM_RENEWALS_PER_SECOND)
+    if (now - this.lastRenewalAt < period) return
+    this.lastRenewalAt = now
     for (const plan of scheduler.planRenewals(now)) this.renew(plan)
   }
 
@@ -188,12 +188,12 @@
   private perform (decision: SchedulingDecision): void {
     switch (decision.kind) {
       case 'start':
-        this.start(decision)
+        this.startTask(decision)
         return
       case 'stop':
       case 'checkpoint':
       case 'throttle':
-        this.act(decision)
+        this.sendCommand(decision)
         return
       case 'preempted':
         this.context.events.record('taskPreempted', { task: decision.task, job: jobOfTask(decision.task), worker: decision.worker, detail: `for ${decision.by}` })
@@ -210,7 +210,7 @@
     }
   }
 
-  private async start (decision: Extract<SchedulingDecision, { kind: 'start' }>): Promise<void> {
+  private async startTask (decision: Extract<SchedulingDecision, { kind: 'start' }>): Promise<void> {
     const { worker, task, attempt, job } = decision
     if (!this.ownership.isOwner()) {
       this.post({ kind: 'startOutcome', decision, outcome: { kind: 'notSent', reason: 'no longer owner' } })
@@ -233,7 +233,7 @@
     this.post({ kind: 'startOutcome', decision, outcome })
   }
 
-  private async act (decision: Extract<SchedulingDecision, { kind: 'stop' | 'checkpoint' | 'throttle' }>): Promise<void> {
+  private async sendCommand (decision: Extract<SchedulingDecision, { kind: 'stop' | 'checkpoint' | 'throttle' }>): Promise<void> {
     const { worker, task, attempt, kind } = decision
     if (!this.ownership.isOwner()) return
     const throttlePercent = kind === 'throttle' ? decision.percent : undefined
--- a/src/entry/retentionTask.ts
+++ b/src/entry/retentionTask.ts
@@ -7,27 +7,27 @@
 import { monotonicNow, type EntryContext } from './entryContext.js'
 import type { JobTask } from './jobTask.js'
 
-/** What the task asks of ownership. */
+/** The part of the ownership state that the task depends on. */
 export interface OwnershipStatus {
   isOwner (): boolean
 }
 
 const DEFAULT_RETENTION_RECORDS = 20_000
 const DEFAULT_RETENTION_MILLISECONDS = 86_400_000
-/** Period of the check for what is due; at most one batch of re-appends by time falls due in each. */
+/** Interval of the check for records that are due. At most one batch of re-appends by time is due at each check. */
 export const RETENTION_CHECK_INTERVAL_MILLISECONDS = 5000
 const APPEND_TIMEOUT_MILLISECONDS = 3000
 
 /**
- * As owner of the failure domain, re-appends what must last before it leaves the retention period: open jobs of the own
- * stream, and the text in force. The owner of the first failure domain by name restates the text; another does so later
- * in its place. Ownership needs no re-append, because each renewal restates it.
+ * As owner of the failure domain, re-appends records before they leave the retention period: the open jobs of its stream,
+ * and the configuration in force. The owner of the first failure domain by name restates the configuration; if it does
+ * not, another owner does so later. Ownership needs no re-append, because each renewal restates it.
  */
 export class RetentionTask extends DisposableObject {
-  private readonly jobAnchors = new Map<string, RecordPosition>()
-  /** The last restated text, or the start of the stream: a publish record alone does not tell a late starter the revision. */
-  private textAnchor: RecordPosition = { offset: 0, seenAt: monotonicNow() }
-  private keeping = false
+  private readonly jobPositions = new Map<string, RecordPosition>()
+  /** Position of the latest restated configuration, or the start of the stream. A publish record does not count, because an instance that starts later cannot derive the revision from it alone. */
+  private configurationPosition: RecordPosition = { offset: 0, seenAt: monotonicNow() }
+  private reappending = false
   private readonly appender: LogAppender
 
   constructor (
@@ -43,43 +43,43 @@
     this.appender = this.register(createAppender(CONFIGURATION_STREAM))
     this.register(configurationFollower.onDidReadIdentity(identity => this.appender.noteRead(identity)))
     this.register(configurationFollower.onDidReadRecord(({ offset, body }) => {
-      if (body.type === 'configurationRestated') this.textAnchor = { offset, seenAt: monotonicNow() }
+      if (body.type === 'configurationRestated') this.configurationPosition = { offset, seenAt: monotonicNow() }
     }))
     this.register(jobFollower.onDidReadRecord(({ offset, body }) => {
-      if (body.type === 'jobAccepted') this.jobAnchors.set(body.job.identity, { offset, seenAt: monotonicNow() })
-      if (body.type === 'jobEnded') this.jobAnchors.delete(body.job)
+      if (body.type === 'jobAccepted') this.jobPositions.set(body.job.identity, { offset, seenAt: monotonicNow() })
+      if (body.type === 'jobEnded') this.jobPositions.delete(body.job)
     }))
     this.registerInterval(() => this.reappendDue(), RETENTION_CHECK_INTERVAL_MILLISECONDS)
   }
 
-  /** Re-appends what is due. */
+  /** Re-appends the records that are due. */
   async reappendDue (): Promise<void> {
-    if (this.keeping || !this.ownership.isOwner() || !this.jobFollower.reachable || !this.configurationFollower.reachable) return
-    this.keeping = true
+    if (this.reappending || !this.ownership.isOwner() || !this.jobFollower.reachable || !this.configurationFollower.reachable) return
+    this.reappending = true
     try {
-      await Promise.all([this.keepText(), this.keepJobs()])
+      await Promise.all([this.reappendConfiguration(), this.reappendJobs()])
     } finally {
-      this.keeping = false
+      this.reappending = false
     }
   }
 
-  private async keepText (): Promise<void> {
-    const anchor = this.textAnchor
+  private async reappendConfiguration (): Promise<void> {
+    const position = this.configurationPosition
     const restatement = this.configuration.restatement()
     if (restatement === undefined) return
     const domains = Object.keys(this.configuration.inForce?.text.failureDomains ?? {}).sort()
     const share = domains[0] === this.context.settings.failureDomain ? REAPPEND_SHARE : FALLBACK_REAPPEND_SHARE
-    if (!isReappendDue(anchor, this.retentionOf(this.configurationFollower), share, monotonicNow())) return
+    if (!isReappendDue(position, this.retentionOf(this.configurationFollower), share, monotonicNow())) return
     await this.appender.append(restatement, APPEND_TIMEOUT_MILLISECONDS)
   }
 
-  private async keepJobs (): Promise<void> {
+  private async reappendJobs (): Promise<void> {
     const retention = this.retentionOf(this.jobFollower)
     const now = monotonicNow()
-    await Promise.all([...this.jobAnchors].map(async ([job, anchor]) => {
-      if (!isReappendDue(anchor, retention, REAPPEND_SHARE, now)) return
+    await Promise.all([...this.jobPositions].map(async ([job, position]) => {
+      if (!isReappendDue(position, retention, REAPPEND_SHARE, now)) return
       const offset = this.jobFollower.position
-      if (await this.jobs.reappend(job)) this.jobAnchors.set(job, { offset, seenAt: now })
+      if (await this.jobs.reappend(job)) this.jobPositions.set(job, { offset, seenAt: now })
     }))
   }
 
