--- a/src/entry/idempotencyGuard.ts
+++ b/src/entry/idempotencyGuard.ts
@@ -9,11 +9,11 @@
 const OUTCOME_UNKNOWN: ServingError = { code: 'outcomeUnknown', verdict: 'mayHaveRun', message: 'a request with this idempotency key runs or may have run', retryAfterSeconds: 2 }
 const ALREADY_RAN: ServingError = { code: 'alreadyRan', verdict: 'ran', message: 'a request with this idempotency key has run; its answer is not kept' }
 
-/** Lets a non-idempotent request with an idempotency key run at most once, and records its answer. */
+/** Runs a non-idempotent request with an idempotency key at most once, and records its response. */
 export class IdempotencyGuard {
   constructor (private readonly keys: Pick<IdempotencyKeyTask, 'acquire' | 'recordOutcome'>) {}
 
-  /** Runs the request, or answers it from what is known of its key. The instance that forwarded a request has checked its key. */
+  /** Runs the request, or returns the result that its key requires. The key of a forwarded request is not checked again, because the instance that forwarded the request has checked it. */
   async serve (request: CallerRequest, service: Service, run: () => Promise<ServingResult>): Promise<ServingResult> {
     const header = request.headers.find(([name]) => name.toLowerCase() === CALLER_HEADERS.idempotencyKey)?.[1]
     if (header === undefined || request.isForwarded || isIdempotent(service, request.method)) return await run()
@@ -35,28 +35,28 @@
     }
   }
 
-  /** An unknown outcome is not recorded: the key stays with the request until the window has passed. */
-  private record (key: string, request: string, answer: ServingResult): ServingResult {
-    if (answer.kind === 'error') {
-      if (answer.error.verdict === 'notRun') this.keys.recordOutcome(key, request, { kind: 'notRun' })
-      return answer
+  /** Records the outcome of a request. An unknown outcome is not recorded: the key stays acquired until the idempotency window has passed. */
+  private record (key: string, request: string, result: ServingResult): ServingResult {
+    if (result.kind === 'error') {
+      if (result.error.verdict === 'notRun') this.keys.recordOutcome(key, request, { kind: 'notRun' })
+      return result
     }
-    const contentType = answer.headers['content-type']
-    const ended = (body: Buffer | undefined): KeyOutcome => ({ kind: 'ended', status: answer.status, contentType: contentType === undefined ? undefined : String(contentType), bodyBase64: body?.toString('base64') })
-    const copy = new BodyCopy()
-    // The whole answer is passed on or the copy breaks off as the answer did.
-    pipeline(answer.body, copy, error => { this.keys.recordOutcome(key, request, ended(error === null || error === undefined ? copy.whole : undefined)) })
-    return { ...answer, body: copy }
+    const contentType = result.headers['content-type']
+    const toOutcome = (body: Buffer | undefined): KeyOutcome => ({ kind: 'ended', status: result.status, contentType: contentType === undefined ? undefined : String(contentType), bodyBase64: body?.toString('base64') })
+    const recorder = new BodyRecorder()
+    // If the response breaks off, the body passed on breaks off too, and the outcome is recorded without a body.
+    pipeline(result.body, recorder, error => { this.keys.recordOutcome(key, request, toOutcome(error === null || error === undefined ? recorder.recordedBody : undefined)) })
+    return { ...result, body: recorder }
   }
 }
 
-/** Passes a body on and keeps it while it is small. */
-class BodyCopy extends Transform {
+/** Passes a body through, and buffers it while it is small enough to be recorded. */
+class BodyRecorder extends Transform {
   private chunks: Buffer[] | undefined = []
   private size = 0
 
-  /** The body; undefined if it was too large. */
-  get whole (): Buffer | undefined {
+  /** The body, or undefined if it was too large. */
+  get recordedBody (): Buffer | undefined {
     return this.chunks === undefined ? undefined : Buffer.concat(this.chunks)
   }
 
--- a/src/entry/idempotencyKeyTask.ts
+++ b/src/entry/idempotencyKeyTask.ts
@@ -13,13 +13,13 @@
 import { monotonicNow, type EntryContext } from './entryContext.js'
 import type { OwnershipTask } from './ownershipTask.js'
 
-/** Largest answer, in bytes, that is recorded for re-submissions. */
+/** Maximum size of a response that is recorded for repeated submissions, in bytes. */
 export const MAXIMUM_RECORDED_RESPONSE_BYTES = 4 * 1024
 const PEER_PATH = '/peer/keys'
 const PEER_TIMEOUT_MILLISECONDS = 2500
-/** Time for an append and for reading it back, after which the log counts as away. */
+/** Time for an append and for reading it back, after which the log is considered unavailable. */
 export const LOG_TIMEOUT_MILLISECONDS = 1000
-const READ_BACK_POLL_MILLISECONDS = 5
+const READ_BACK_POLL_INTERVAL_MILLISECONDS = 5
 const MAXIMUM_HOPS = 2
 const MAXIMUM_MESSAGE_BYTES = 64 * 1024
 const FROM_HEADER = 'vanillaturn-peer'
@@ -38,7 +38,7 @@
   z.object({ kind: z.literal('recorded'), status: z.number().int(), contentType: z.string().optional(), bodyBase64: z.string() })
 ])
 
-/** Decides about idempotency keys whose home is the own failure domain, and asks the owner of the home about others. */
+/** Decides about idempotency keys whose home is the own failure domain, and requests decisions about other keys from their home, where the owner decides. */
 export class IdempotencyKeyTask extends DisposableObject {
   private readonly keys = new IdempotencyKeys()
   private readonly appenders = new Map<string, LogAppender>()
@@ -59,15 +59,15 @@
     }))
   }
 
-  /** Asks whether a request with a key may run. To be asked before the first byte goes to an executor. */
+  /** Acquires a key for a request, and returns whether the request may run. Must be called before the first byte is sent to an executor. */
   async acquire (key: string, request: string, deadline: number): Promise<KeyDecision> {
-    let decision = await within(this.handle({ key, request, hops: 0 }), deadline - monotonicNow()) ?? UNAVAILABLE
+    let decision = await withTimeout(this.handle({ key, request, hops: 0 }), deadline - monotonicNow()) ?? UNAVAILABLE
     if (decision.kind === 'unavailable' && monotonicNow() + LOG_TIMEOUT_MILLISECONDS < deadline) {
-      decision = await within(this.handle({ key, request, hops: 0 }), deadline - monotonicNow()) ?? UNAVAILABLE
+      decision = await withTimeout(this.handle({ key, request, hops: 0 }), deadline - monotonicNow()) ?? UNAVAILABLE
     }
-    // A decision to run may have been taken although its answer was lost.
+    // The owner may have let the request run although its response was lost; this record then frees the key.
     if (decision.kind === 'unavailable') this.recordOutcome(key, request, { kind: 'notRun' })
-    // The second memory of a key whose record is not in the log yet; the same identity counts once.
+    // This instance holds the key in memory as well until its record is in the log. Records with the same identity are applied once.
     if (decision.kind === 'run' && decision.unlogged) this.appendStarted(key, request)
     return decision
   }
@@ -79,16 +79,16 @@
     const body: KeyRecord = outcome.kind === 'notRun'
       ? { type: 'keyNotRun', key, request }
       : { type: 'keyEnded', key, request, status: outcome.status, contentType: outcome.contentType, body: outcome.bodyBase64, atMilliseconds: Date.now() }
-    await this.appenderOf(home).append(body, this.windowMilliseconds(), `key:${body.type}:${request}`)
+    await this.getAppender(home).append(body, this.windowMilliseconds(), `key:${body.type}:${request}`)
   }
 
-  /** Answers a peer's question; undefined if it proves no link key. */
+  /** Returns the decision that a peer requests, or undefined if the request is too large, malformed or without a valid proof. */
   async handlePeerRequest (request: Request): Promise<KeyDecision | undefined> {
     if (Number(request.headers.get('content-length') ?? Infinity) > MAXIMUM_MESSAGE_BYTES) return undefined
     const body = await request.text()
     const from = request.headers.get(FROM_HEADER) ?? ''
-    const proven = { method: 'POST', path: PEER_PATH, identity: hashOf(body), from }
-    if (!isValidPeerProof(request.headers.get(PEER_PROOF_HEADER) ?? '', this.context.settings.linkKeys, proven, Date.now())) return undefined
+    const signed = { method: 'POST', path: PEER_PATH, identity: hashOf(body), from }
+    if (!isValidPeerProof(request.headers.get(PEER_PROOF_HEADER) ?? '', this.context.settings.linkKeys, signed, Date.now())) return undefined
     const message = messageSchema.safeParse(JSON.parse(body))
     return message.success ? await this.handle(message.data) : undefined
   }
@@ -96,50 +96,50 @@
   private async handle (message: KeyMessage): Promise<KeyDecision> {
     const home = this.homeOf(message.key)
     if (home === undefined || message.hops > MAXIMUM_HOPS) return { kind: 'unavailable' }
-    if (home !== this.context.settings.failureDomain) return await this.ask(this.addressIn(home), message)
+    if (home !== this.context.settings.failureDomain) return await this.requestDecision(this.selectAddress(home), message)
     if (this.ownership.isOwner()) return await this.decide(message.key, message.request)
-    return await this.ask(this.ownerAddress(), message)
+    return await this.requestDecision(this.ownerAddress(), message)
   }
 
-  /** Decides as owner: the log orders records of successive owners, so the request runs only if its record is read back first. */
+  /** Decides as owner. The log orders the records of successive owners, so that while it is available a request runs only after its record has been read back as the first of its key. */
   private async decide (key: string, request: string): Promise<KeyDecision> {
     if (!this.follower.hasCaughtUp) return { kind: 'unavailable' }
     const decision = this.keys.decide(key, request, Date.now(), this.windowMilliseconds())
     if (decision.kind !== 'run') return decision
     if (this.keys.isHeldBy(key, request)) return { kind: 'run', unlogged: false }
     this.keys.reserve(key, request, Date.now())
-    const until = monotonicNow() + LOG_TIMEOUT_MILLISECONDS
-    const confirmed = await within(this.appendStarted(key, request), LOG_TIMEOUT_MILLISECONDS)
-    if (confirmed === true) await this.readBack(key, request, until)
+    const readBackDeadline = monotonicNow() + LOG_TIMEOUT_MILLISECONDS
+    const confirmed = await withTimeout(this.appendStarted(key, request), LOG_TIMEOUT_MILLISECONDS)
+    if (confirmed === true) await this.waitForReadBack(key, request, readBackDeadline)
     if (!this.ownership.isOwner()) return { kind: 'unavailable' }
     if (this.keys.isHeldBy(key, request)) return { kind: 'run', unlogged: false }
-    // Without the log the key is held in two memories: this one and that of the asking instance.
+    // While the log is unavailable, the key is held in memory by two instances: this one and the requesting one.
     if (confirmed !== true && !this.follower.reachable) return this.keys.decide(key, request, Date.now(), this.windowMilliseconds())
-    const now = this.keys.decide(key, request, Date.now(), this.windowMilliseconds())
-    return now.kind === 'run' ? { kind: 'unavailable' } : now
+    const latestDecision = this.keys.decide(key, request, Date.now(), this.windowMilliseconds())
+    return latestDecision.kind === 'run' ? { kind: 'unavailable' } : latestDecision
   }
 
-  /** Waits until the record of a key has been read from the log, whoever wrote it. */
-  private async readBack (key: string, request: string, until: number): Promise<void> {
-    while (!this.keys.isHeldBy(key, request) && monotonicNow() < until) {
+  /** Waits until a record of the key has been read from the log, whichever owner wrote it, or until the deadline. */
+  private async waitForReadBack (key: string, request: string, deadline: number): Promise<void> {
+    while (!this.keys.isHeldBy(key, request) && monotonicNow() < deadline) {
       if (this.keys.decide(key, request, Date.now(), this.windowMilliseconds()).kind !== 'run') return
-      await delay(READ_BACK_POLL_MILLISECONDS)
+      await delay(READ_BACK_POLL_INTERVAL_MILLISECONDS)
     }
   }
 
   private async appendStarted (key: string, request: string): Promise<boolean> {
     const home = this.homeOf(key)
     if (home === undefined) return false
-    return await this.appenderOf(home).append({ type: 'keyStarted', key, request, atMilliseconds: Date.now() }, this.windowMilliseconds(), `key:keyStarted:${request}`)
+    return await this.getAppender(home).append({ type: 'keyStarted', key, request, atMilliseconds: Date.now() }, this.windowMilliseconds(), `key:keyStarted:${request}`)
   }
 
-  private async ask (address: string | undefined, message: KeyMessage): Promise<KeyDecision> {
+  private async requestDecision (address: string | undefined, message: KeyMessage): Promise<KeyDecision> {
     if (address === undefined) return { kind: 'unavailable' }
     const body = JSON.stringify({ ...message, hops: message.hops + 1 })
     const from = this.context.settings.instance
     const proof = createPeerProof(this.context.settings.linkKeys[0] as string, { method: 'POST', path: PEER_PATH, identity: hashOf(body), from }, Date.now())
     try {
-      const answer = await sendHttp(`${address}${PEER_PATH}`, {
+      const response = await sendHttp(`${address}${PEER_PATH}`, {
         method: 'POST',
         body,
         dispatcher: this.agent,
@@ -147,8 +147,8 @@
         bodyTimeout: PEER_TIMEOUT_MILLISECONDS,
         headers: { 'content-type': 'application/json', [FROM_HEADER]: from, [PEER_PROOF_HEADER]: proof }
       })
-      const text = await answer.body.text()
-      const decision = decisionSchema.safeParse(answer.statusCode === 200 ? JSON.parse(text) : undefined)
+      const text = await response.body.text()
+      const decision = decisionSchema.safeParse(response.statusCode === 200 ? JSON.parse(text) : undefined)
       return decision.success ? decision.data : { kind: 'unavailable' }
     } catch {
       return { kind: 'unavailable' }
@@ -159,7 +159,7 @@
     return homeFailureDomain(key, Object.keys(this.configuration.inForce?.text.failureDomains ?? {}), this.hash)
   }
 
-  private addressIn (failureDomain: string): string | undefined {
+  private selectAddress (failureDomain: string): string | undefined {
     const entries = this.membership.entries().filter(entry => entry.failureDomain === failureDomain && entry.state === 'live')
     return entries.length === 0 ? undefined : this.context.random.pick(entries).callerAddress
   }
@@ -169,7 +169,7 @@
     return this.membership.entries().find(entry => entry.name === owner && owner !== this.context.settings.instance)?.callerAddress
   }
 
-  private appenderOf (failureDomain: string): LogAppender {
+  private getAppender (failureDomain: string): LogAppender {
     const stream = domainStream('keys', failureDomain)
     let appender = this.appenders.get(stream)
     if (appender === undefined) {
@@ -187,8 +187,8 @@
 const DEFAULT_WINDOW_MILLISECONDS = 600_000
 const UNAVAILABLE: KeyDecision = { kind: 'unavailable' }
 
-/** The value of a promise, or undefined when it does not come in time. */
-async function within<T> (pending: Promise<T>, milliseconds: number): Promise<T | undefined> {
+/** Resolves with the value of a promise, or with undefined after a timeout. */
+async function withTimeout<T> (pending: Promise<T>, milliseconds: number): Promise<T | undefined> {
   const settled = new AbortController()
   try {
     return await Promise.race([pending, delay(Math.max(0, milliseconds), settled.signal).then(() => undefined)])
--- a/src/entry/slotTask.ts
+++ b/src/entry/slotTask.ts
@@ -23,18 +23,18 @@
   | { readonly kind: 'report', readonly from: PeerIdentity, readonly report: LinkMessageOf<'slotReport'> }
   | { readonly kind: 'grants', readonly from: string, readonly grants: LinkMessageOf<'slotGrants'> }
 
-const REPORT_PERIOD_MILLISECONDS = 250
-/** Age of the instance list above which it does not show that an instance has ended. */
-const LIST_FRESHNESS_MILLISECONDS = 3000
+const REPORT_INTERVAL_MILLISECONDS = 250
+/** Maximum age of the instance list at which an instance that is not listed is considered to have ended. */
+const MAXIMUM_LIST_AGE_MILLISECONDS = 3000
 
-/** Owns the slots this instance holds and, as owner of the failure domain, their division among its instances. */
+/** Manages the slots that this instance holds and, as owner of the failure domain, the allocation of slots to its instances. */
 export class SlotTask extends Task<SlotMessage> {
   readonly holder = new SlotHolder()
   private allocator: SlotAllocator | undefined
   private allocatorTerm = 0
-  private lastTerm: number | undefined
+  private lastReportedTerm: number | undefined
   private leaving = false
-  private readonly runBounds = new RunTimeBounds(GRANT_VALID_MILLISECONDS + GRANT_DRIFT_MARGIN_MILLISECONDS)
+  private readonly runTimeBounds = new RunTimeBounds(GRANT_VALID_MILLISECONDS + GRANT_DRIFT_MARGIN_MILLISECONDS)
   private readonly instanceOfHolder = new Map<string, string>()
   private readonly didChange = new Emitter<void>()
   /** Fires when grants have been applied. */
@@ -47,7 +47,7 @@
     private readonly membership: Membership,
     private readonly links: LinkTransport,
     private readonly demandByPool: () => Readonly<Record<string, number>>,
-    private readonly urgentWaits: () => boolean
+    private readonly hasUrgentWaiting: () => boolean
   ) {
     super()
     this.register(this.didChange)
@@ -56,24 +56,24 @@
       if (message.type === 'slotReport') this.post({ kind: 'report', from, report: message })
       if (message.type === 'slotGrants') this.post({ kind: 'grants', from: from.instance, grants: message })
     }))
-    // Instances that are not owner note lowered run times, too, for the case that they become owner.
+    // Instances that are not owner track lowered run times as well, because they may become owner.
     this.register(configuration.onDidChangeRevision(({ text }) => {
-      for (const pool of Object.keys(text.executorPools)) this.runBounds.update(pool, longestRun(text, pool), monotonicNow())
+      for (const pool of Object.keys(text.executorPools)) this.runTimeBounds.update(pool, maximumRunMilliseconds(text, pool), monotonicNow())
     }))
-    this.registerInterval(() => this.post({ kind: 'tick' }), REPORT_PERIOD_MILLISECONDS)
+    this.registerInterval(() => this.post({ kind: 'tick' }), REPORT_INTERVAL_MILLISECONDS)
   }
 
-  /** Asks for slots before the next regular report, because requests wait. */
+  /** Requests slots for waiting requests ahead of the next regular report. */
   requestSlots (): void {
-    if (this.holder.isDemandReportDue(this.urgentWaits(), monotonicNow())) this.post({ kind: 'reportNow' })
+    if (this.holder.isDemandReportDue(this.hasUrgentWaiting(), monotonicNow())) this.post({ kind: 'reportNow' })
   }
 
-  /** Tells the owner at once when a slot has become free that it wants to grant to another instance. */
+  /** Reports at once that a slot has become free which the owner has revoked to grant it to another instance. */
   reportFreedSlots (): void {
     if (this.holder.hasSlotsToRelease) this.post({ kind: 'reportNow' })
   }
 
-  /** On a planned stop, once no request waits: gives all grants back and reports that at once. */
+  /** Returns all grants on a graceful shutdown, once no request is waiting, and reports that at once. */
   returnGrants (): void {
     this.post({ kind: 'leave' })
   }
@@ -104,7 +104,7 @@
     this.context.logger.error('handling a slot message failed', { code: message.kind, reason: describeError(error) })
   }
 
-  /** An owner whose lease lapsed and was extended in the same term keeps what it has granted. */
+  /** Creates the allocator of a new term. An owner whose lease lapsed and was extended in the same term keeps its allocator, and with it the grants. */
   private prepareAllocator (): void {
     if (this.allocatorTerm === this.ownership.term) return
     this.allocatorTerm = this.ownership.term
@@ -114,8 +114,8 @@
   private report (): void {
     const { owner, term } = this.ownership
     if (owner === undefined) return
-    if (term !== this.lastTerm) {
-      this.lastTerm = term
+    if (term !== this.lastReportedTerm) {
+      this.lastReportedTerm = term
       this.holder.onOwnerChanged()
     }
     const { sequence, uses } = this.holder.startReport(monotonicNow())
@@ -136,9 +136,9 @@
   private onReport (instance: string, holder: string, report: LinkMessageOf<'slotReport'>): void {
     const text = this.configuration.inForce?.text
     if (this.allocator === undefined || text === undefined || report.term !== this.allocatorTerm || !this.mayGrant()) return
-    this.allocator.setExecutors(executorLimits(text, this.membership, this.context.settings.failureDomain, this.runBounds, monotonicNow()))
+    this.allocator.setExecutors(executorLimits(text, this.membership, this.context.settings.failureDomain, this.runTimeBounds, monotonicNow()))
     this.instanceOfHolder.set(holder, instance)
-    this.noteEndedProcesses(instance, holder)
+    this.handleEndedProcesses(instance, holder)
     for (const decision of this.allocator.onReport(holder, { ...report, uses: decodeUses(report.uses) }, monotonicNow())) {
       if (this.mayGrant()) this.sendGrants(decision)
     }
@@ -163,9 +163,9 @@
     else if (instance !== undefined) this.links.send(instance, message)
   }
 
-  /** A process has ended if its successor reports or the instance list no longer shows its instance. */
-  private noteEndedProcesses (reporter: string, holder: string): void {
-    const listIsFresh = this.membership.ageMilliseconds(monotonicNow()) < LIST_FRESHNESS_MILLISECONDS
+  /** Notifies the allocator of ended processes. A process has ended if its successor reports, or if the instance list no longer contains its instance. */
+  private handleEndedProcesses (reporter: string, holder: string): void {
+    const listIsFresh = this.membership.ageMilliseconds(monotonicNow()) < MAXIMUM_LIST_AGE_MILLISECONDS
     const remaining = new Set(this.allocator?.holderKeys())
     for (const [key, instance] of this.instanceOfHolder) {
       const replaced = instance === reporter && key !== holder
@@ -176,24 +176,24 @@
   }
 
   private applyGrants (grants: LinkMessageOf<'slotGrants'>): void {
-    if (grants.term !== this.ownership.term || grants.term !== this.lastTerm || !this.holder.applyGrants({ ...grants, grants: decodeGrants(grants.grants) })) return
+    if (grants.term !== this.ownership.term || grants.term !== this.lastReportedTerm || !this.holder.applyGrants({ ...grants, grants: decodeGrants(grants.grants) })) return
     this.didChange.fire()
     this.reportFreedSlots()
   }
 }
 
-/** Limits of the executors of a failure domain. */
-export function executorLimits (text: SiteText, membership: Membership, failureDomain: string, runBounds: RunTimeBounds, now: number): ExecutorLimits[] {
+/** Returns the limits of the executors of a failure domain. */
+export function executorLimits (text: SiteText, membership: Membership, failureDomain: string, runTimeBounds: RunTimeBounds, now: number): ExecutorLimits[] {
   const limits: ExecutorLimits[] = []
-  const longest = new Map(Object.keys(text.executorPools).map(pool => [pool, runBounds.update(pool, longestRun(text, pool), now)]))
+  const maximumRunByPool = new Map(Object.keys(text.executorPools).map(pool => [pool, runTimeBounds.update(pool, maximumRunMilliseconds(text, pool), now)]))
   for (const executor of membership.executors(failureDomain)) {
     const pool = text.executorPools[executor.pool]
     if (pool === undefined) continue
-    limits.push({ name: executor.name, pool: executor.pool, slots: pool.slots, connections: pool.connections, maximumRunMilliseconds: longest.get(executor.pool) ?? 0 })
+    limits.push({ name: executor.name, pool: executor.pool, slots: pool.slots, connections: pool.connections, maximumRunMilliseconds: maximumRunByPool.get(executor.pool) ?? 0 })
   }
   return limits
 }
 
-function longestRun (text: SiteText, pool: string): number {
+function maximumRunMilliseconds (text: SiteText, pool: string): number {
   return Math.max(0, ...Object.values(text.services).filter(service => service.executorPool === pool).map(service => service.maximumRunMilliseconds))
 }
