--- a/test/entry/configurationTask.test.ts
+++ b/test/entry/configurationTask.test.ts
@@ -17,14 +17,14 @@
 import type { LogFollower } from '../../src/links/logFollower.js'
 
 const IN_FORCE_BOUND_MILLISECONDS = 13_000
-const CHANGES_A_SECOND = 6000 / 86_400
+const CHANGES_PER_SECOND = 6000 / 86_400
 const packer = new Packr({ useRecords: false })
 
 function text (site: string, padding = 0): string {
   return JSON.stringify({ site, failureDomains: { 'zone-a': { region: 'north' } }, services: {}, executorPools: {}, workerPools: {}, teams: {} }) + ' '.repeat(padding)
 }
 
-/** Instances with links in memory; an instance reads the log unless it is cut off. */
+/** Instances connected by links in memory. Each reads the log, unless it is cut off from the platform. */
 class Network {
   private readonly store = new DisposableStore()
   private readonly nodes = new Map<string, Node>()
@@ -54,7 +54,7 @@
     for (const node of this.nodes.values()) if (!node.cutOff) setTimeout(() => node.didRead.fire(record), 10)
   }
 
-  /** The hash is compiled off the paused clock; without it a loaded machine makes announcements late. */
+  /** Waits until the hash function is compiled, which the fake clock does not cover; otherwise announcements are late on a loaded machine. */
   async whenReady (): Promise<void> {
     for (const node of this.nodes.values()) await node.task.whenReady()
   }
@@ -93,7 +93,7 @@
   }
 }
 
-async function withNetwork (run: (network: Network, pass: (milliseconds: number) => Promise<void>) => Promise<void>): Promise<void> {
+async function withNetwork (run: (network: Network, advance: (milliseconds: number) => Promise<void>) => Promise<void>): Promise<void> {
   const timers = install({ now: 0, toFake: ['setTimeout', 'clearTimeout', 'setInterval', 'clearInterval', 'performance'] })
   const network = new Network()
   try {
@@ -108,60 +108,60 @@
 }
 
 describe('ConfigurationTask', () => {
-  it('a failure domain that is cut off from the platform gets each revision over one link, in time', async () => {
-    await withNetwork(async (network, pass) => {
+  it('delivers each revision over one link, in time, to a failure domain that is cut off from the platform', async () => {
+    await withNetwork(async (network, advance) => {
       const [reader, border, inner] = [network.add('a-1', false), network.add('b-1', true), network.add('b-2', true)]
       network.link(reader, border)
       network.link(border, inner)
       network.publish(0, text('one'))
-      await pass(IN_FORCE_BOUND_MILLISECONDS)
+      await advance(IN_FORCE_BOUND_MILLISECONDS)
       assert.deepEqual([reader, border, inner].map(node => node.revision), [1, 1, 1])
       network.publish(1, text('two'))
-      await pass(IN_FORCE_BOUND_MILLISECONDS)
+      await advance(IN_FORCE_BOUND_MILLISECONDS)
       assert.deepEqual([reader, border, inner].map(node => node.revision), [2, 2, 2])
     })
   })
 
-  it('an instance that starts cut off learns from a peer, and an older announcement does not revert it', async () => {
-    await withNetwork(async (network, pass) => {
+  it('delivers the configuration from a peer to an instance that is cut off at its start, and an older one does not replace it', async () => {
+    await withNetwork(async (network, advance) => {
       const reader = network.add('a-1', false)
       network.publish(0, text('one'))
       network.publish(1, text('two'))
-      await pass(1000)
+      await advance(1000)
       const starter = network.add('a-2', true)
       network.link(reader, starter)
-      await pass(IN_FORCE_BOUND_MILLISECONDS)
+      await advance(IN_FORCE_BOUND_MILLISECONDS)
       assert.equal(starter.revision, 2)
       starter.didReceive.fire({ from: reader.identity, message: { type: 'configurationText', logicalTime: 0, revision: 1, text: text('one') } })
-      await pass(1000)
+      await advance(1000)
       assert.equal(starter.revision, 2)
     })
   })
 
-  it('a text that differs from the announced digest is not taken over', async () => {
-    await withNetwork(async (network, pass) => {
+  it('rejects a configuration whose digest differs from the announced one', async () => {
+    await withNetwork(async (network, advance) => {
       const starter = network.add('a-2', true)
       const from: PeerIdentity = { instance: 'a-1', incarnation: 'a-1', failureDomain: 'zone-a' }
       starter.didReceive.fire({ from, message: { type: 'configurationAnnouncement', logicalTime: 0, revision: 1, digest: 'other' } })
       starter.didReceive.fire({ from, message: { type: 'configurationText', logicalTime: 0, revision: 1, text: text('one') } })
-      await pass(1000)
+      await advance(1000)
       assert.equal(starter.revision, 0)
     })
   })
 
-  /** Nine instances that all reach the log: each link carries both directions' announcements. The baseline sends the whole text where the announcement is sent. */
+  /** Nine instances that all read the log: each link carries an announcement in each direction. The baseline sends the whole configuration instead of each announcement. */
   for (const kilobytes of [10, 100, 300]) {
-    it(`bytes on links for a text of ${kilobytes} KB`, async context => {
-      await withNetwork(async (network, pass) => {
+    it(`transfers few bytes on links for a configuration of ${kilobytes} KB`, async context => {
+      await withNetwork(async (network, advance) => {
         const nodes = Array.from({ length: 9 }, (_, index) => network.add(`a-${index}`, false))
         nodes.forEach((left, index) => { for (const right of nodes.slice(index + 1)) network.link(left, right) })
         const source = text('one', kilobytes * 1000)
         network.publish(0, source)
-        await pass(IN_FORCE_BOUND_MILLISECONDS)
+        await advance(IN_FORCE_BOUND_MILLISECONDS)
         const announcements = 9 * 8
         const whole = announcements * packer.pack({ type: 'configurationText', logicalTime: 1, revision: 1, text: source }).length
-        const rate = (bytes: number): string => (2 * bytes / 9 * CHANGES_A_SECOND).toFixed(1)
-        context.diagnostic(`${kilobytes} KB: digest first ${rate(network.bytes)} bytes/s an instance (sent and received), whole text ${rate(whole)}`)
+        const rate = (bytes: number): string => (2 * bytes / 9 * CHANGES_PER_SECOND).toFixed(1)
+        context.diagnostic(`${kilobytes} KB: digests ${rate(network.bytes)} bytes/s per instance (sent and received), whole configurations ${rate(whole)}`)
         assert.ok(network.bytes < whole / 50)
       })
     })
--- a/test/entry/idempotencyKeyTask.test.ts
+++ b/test/entry/idempotencyKeyTask.test.ts
@@ -12,9 +12,9 @@
 import type { LogFollower } from '../../src/links/logFollower.js'
 import { Membership } from '../../src/machines/membership.js'
 
-/** One stream of keys that can be away, and that gives each identity once. */
+/** Stream of idempotency keys in memory that can be unavailable and delivers one record per identity. */
 class FakeStream {
-  away = false
+  unavailable = false
   readonly appended: string[] = []
   private readonly waiting: Array<() => void> = []
   private readonly identities = new Set<string>()
@@ -32,15 +32,15 @@
         }
         resolve(true)
       }
-      if (this.away) this.waiting.push(store)
+      if (this.unavailable) this.waiting.push(store)
       else store()
     })
   }
 
-  setAway (away: boolean): void {
-    this.away = away
-    this.follower.reachable = !away
-    if (!away) for (const store of this.waiting.splice(0)) store()
+  setUnavailable (unavailable: boolean): void {
+    this.unavailable = unavailable
+    this.follower.reachable = !unavailable
+    if (!unavailable) for (const store of this.waiting.splice(0)) store()
   }
 }
 
@@ -62,10 +62,10 @@
 
 const LATER = performance.now() + 60_000
 
-/** Each case guards against a second run. */
+/** Each case guards against running a request twice. */
 const CASES: ReadonlyArray<{ readonly name: string, readonly run: (site: Site) => Promise<void> }> = [
   {
-    name: 'only one of two requests with a key runs, and costs one append each way',
+    name: 'runs only one of two requests with the same key, with one append at its start and one at its end',
     run: async ({ task, stream }) => {
       const decisions = await Promise.all([task.acquire('k', 'a', LATER), task.acquire('k', 'b', LATER)])
       assert.deepEqual(decisions.map(({ kind }) => kind).sort(), ['outcomeUnknown', 'run'])
@@ -75,7 +75,7 @@
     }
   },
   {
-    name: 'a request that was not run frees the key',
+    name: 'frees the key of a request that was not run',
     run: async ({ task }) => {
       await task.acquire('k', 'a', LATER)
       await task.recordOutcome('k', 'a', { kind: 'notRun' })
@@ -83,19 +83,19 @@
     }
   },
   {
-    name: 'while the log is away the owner decides from memory, and a later owner learns it from the log',
+    name: 'decides from memory while the log is unavailable, and a later owner learns the decision from the log',
     run: async ({ task, stream }) => {
-      stream.setAway(true)
+      stream.setUnavailable(true)
       assert.deepEqual(await task.acquire('k', 'a', LATER), { kind: 'run', unlogged: true })
       assert.equal((await task.acquire('k', 'b', LATER)).kind, 'outcomeUnknown')
       const successor = createSite(stream)
-      stream.setAway(false)
+      stream.setUnavailable(false)
       assert.equal((await successor.task.acquire('k', 'c', LATER)).kind, 'outcomeUnknown')
       assert.deepEqual(stream.appended, ['keyStarted'])
     }
   },
   {
-    name: 'an instance that is no longer owner, or that has not read the log, lets nothing run',
+    name: 'runs nothing on an instance that is no longer owner or has not caught up with the log',
     run: async site => {
       site.owner = false
       assert.equal((await site.task.acquire('k', 'a', LATER)).kind, 'unavailable')
@@ -105,18 +105,18 @@
     }
   },
   {
-    name: 'a request whose key cannot be checked in time is answered at its deadline',
+    name: 'returns at the deadline of a request whose key cannot be checked in time',
     run: async site => {
-      site.stream.setAway(true)
+      site.stream.setUnavailable(true)
       const startedAt = performance.now()
       assert.equal((await site.task.acquire('k', 'a', startedAt + 200)).kind, 'unavailable')
       assert.ok(performance.now() - startedAt < LOG_TIMEOUT_MILLISECONDS)
     }
   },
   {
-    name: 'an owner that loses its lease while it waits for the log lets nothing run',
+    name: 'runs nothing if the owner loses its lease while it waits for the log',
     run: async site => {
-      site.stream.setAway(true)
+      site.stream.setUnavailable(true)
       const pending = site.task.acquire('k', 'a', performance.now() + 1500)
       site.owner = false
       assert.equal((await pending).kind, 'unavailable')
@@ -124,6 +124,6 @@
   }
 ]
 
-describe('KeyTask', () => {
+describe('IdempotencyKeyTask', () => {
   for (const { name, run } of CASES) it(name, async () => { await run(createSite()) })
 })
--- a/test/entry/jobTask.test.ts
+++ b/test/entry/jobTask.test.ts
@@ -16,21 +16,21 @@
 import type { LogFollower } from '../../src/links/logFollower.js'
 import { AppendRefusedError, PlatformLog } from '../../src/links/platformLog.js'
 
-type Answer = 'taken' | 'refused' | 'silent' | 'lost'
+type AppendBehavior = 'confirmed' | 'refused' | 'silent' | 'lost'
 
-/** Answers appends as scripted; the last answer repeats. A silent append is never answered, a lost one breaks after it took effect. */
+/** Handles appends as scripted; the last behavior repeats. A silent append never completes; a lost one fails after it took effect. */
 class ScriptedLog extends PlatformLog {
   readonly records: RecordEnvelope[] = []
   attempts = 0
-  constructor (private readonly answers: readonly Answer[]) { super() }
+  constructor (private readonly behaviors: readonly AppendBehavior[]) { super() }
 
   override async append (_stream: string, records: readonly RecordEnvelope[]): Promise<AppendAnswer> {
-    const answer = this.answers[Math.min(this.attempts, this.answers.length - 1)]
+    const behavior = this.behaviors[Math.min(this.attempts, this.behaviors.length - 1)]
     this.attempts += 1
-    if (answer === 'refused') throw new AppendRefusedError('status 503')
+    if (behavior === 'refused') throw new AppendRefusedError('status 503')
     this.records.push(...records)
-    if (answer === 'lost') throw new Error('connection reset')
-    if (answer === 'silent') return await new Promise<AppendAnswer>(() => {})
+    if (behavior === 'lost') throw new Error('connection reset')
+    if (behavior === 'silent') return await new Promise<AppendAnswer>(() => {})
     return { firstOffset: 0, nextOffset: 1 }
   }
 
@@ -48,18 +48,18 @@
   teams: { one: { quota: { processorsThousandths: 1000, memoryBytes: 1000, accelerators: 0 } } }
 })
 
-/** Each case guards against a false verdict: `notRun` for a job that runs, or an acceptance that the log does not hold. */
-const CASES: ReadonlyArray<{ readonly name: string, readonly answers: readonly Answer[], readonly readBack: boolean, readonly expected: string }> = [
-  { name: 'a confirmed append is accepted', answers: ['taken'], readBack: false, expected: 'accepted' },
-  { name: 'a lost answer is repeated with the same identity', answers: ['lost', 'taken'], readBack: false, expected: 'accepted' },
-  { name: 'a log that refuses gives notRun in time', answers: ['refused'], readBack: false, expected: 'logUnavailable notRun' },
-  { name: 'an append without answer gives mayHaveRun', answers: ['silent'], readBack: false, expected: 'outcomeUnknown mayHaveRun' },
-  { name: 'a lost answer before an outage gives mayHaveRun', answers: ['lost', 'refused'], readBack: false, expected: 'outcomeUnknown mayHaveRun' },
-  { name: 'a lost answer is confirmed by reading the record back', answers: ['lost', 'refused'], readBack: true, expected: 'accepted' }
+/** Each case guards against a false verdict: `notRun` for a job that runs, or acceptance of a job that is not in the log. */
+const CASES: ReadonlyArray<{ readonly name: string, readonly behaviors: readonly AppendBehavior[], readonly readBack: boolean, readonly expected: string }> = [
+  { name: 'accepts a job whose append is confirmed', behaviors: ['confirmed'], readBack: false, expected: 'accepted' },
+  { name: 'repeats an append whose response is lost, with the same identity', behaviors: ['lost', 'confirmed'], readBack: false, expected: 'accepted' },
+  { name: 'returns notRun in time if the log refuses', behaviors: ['refused'], readBack: false, expected: 'logUnavailable notRun' },
+  { name: 'returns mayHaveRun for an append without a response', behaviors: ['silent'], readBack: false, expected: 'outcomeUnknown mayHaveRun' },
+  { name: 'returns mayHaveRun if a response is lost before an outage', behaviors: ['lost', 'refused'], readBack: false, expected: 'outcomeUnknown mayHaveRun' },
+  { name: 'accepts a job whose response is lost once its record is read back', behaviors: ['lost', 'refused'], readBack: true, expected: 'accepted' }
 ]
 
 describe('submission of a job', () => {
-  for (const { name, answers, readBack, expected } of CASES) {
+  for (const { name, behaviors, readBack, expected } of CASES) {
     it(name, async () => {
       const timers = install({ now: 0, toFake: ['setTimeout', 'clearTimeout', 'Date', 'performance'] })
       try {
@@ -71,17 +71,17 @@
         const readIdentity = new Emitter<string>()
         const follower = { stream: 'jobs.zone-a', onDidReadRecord: read.event, onDidReadIdentity: readIdentity.event } as unknown as LogFollower
         const configuration = { inForce: { revision: 1, text: checked.kind === 'valid' ? checked.text : undefined } } as unknown as ConfigurationTask
-        const log = new ScriptedLog(answers)
+        const log = new ScriptedLog(behaviors)
         const jobs = new JobTask(context, configuration, follower, stream => new LogAppender(stream, 'entry', log, new LogicalClock(), logger, new Random(1)))
         const submitted = jobs.submit({ name: 'one', team: 'one', kind: 'batch', urgency: 'normal', tasks: 1, resources: { processorsThousandths: 1, memoryBytes: 1, accelerators: 0 }, checkpointable: false }, 'key')
         await timers.tickAsync(500)
         if (readBack) readIdentity.fire(log.records[0]?.identity ?? '')
         await timers.tickAsync(2600)
-        const answer = await submitted
-        assert.equal(answer.kind === 'error' ? `${answer.error.code} ${answer.error.verdict}` : answer.kind, expected)
+        const result = await submitted
+        assert.equal(result.kind === 'error' ? `${result.error.code} ${result.error.verdict}` : result.kind, expected)
         const attempts = log.attempts
         await timers.tickAsync(10_000)
-        assert.equal(log.attempts, attempts, 'nothing is sent after the answer')
+        assert.equal(log.attempts, attempts, 'nothing is sent after the result')
         assert.equal(new Set(log.records.map(record => record.identity)).size, log.records.length === 0 ? 0 : 1)
         jobs.dispose()
       } finally {
--- a/test/entry/ownershipTask.test.ts
+++ b/test/entry/ownershipTask.test.ts
@@ -6,14 +6,14 @@
 
 const TAKEOVER_MILLISECONDS = 10_000
 
-const CUT_MILLISECONDS: readonly number[] = [4000, 15_000]
+const PARTITION_MILLISECONDS: readonly number[] = [4000, 15_000]
 
-/** Each way of replacing instances left a failure domain without an owner for good, because the list showed their names on. */
-const REPLACEMENTS: ReadonlyArray<{ readonly name: string, readonly act: (site: FakeSite) => void }> = [
-  { name: 'all instances restart at once', act: site => { for (const instance of [...site.current.values()]) site.restart(instance) } },
+/** Each of these restarts left a failure domain without an owner forever, because the instance list still contained the names of the previous incarnations. */
+const RESTARTS: ReadonlyArray<{ readonly name: string, readonly perform: (site: FakeSite) => void }> = [
+  { name: 'all instances restart at once', perform: site => { for (const instance of [...site.current.values()]) site.restart(instance) } },
   {
-    name: 'all instances crash and restart one after the other',
-    act: site => {
+    name: 'all instances crash and then restart one after the other',
+    perform: site => {
       for (const instance of [...site.current.values()]) site.crash(instance)
       for (const instance of [...site.current.values()]) site.restart(instance)
     }
@@ -21,19 +21,19 @@
 ]
 
 describe('OwnershipTask', () => {
-  for (const { name, act } of REPLACEMENTS) {
+  for (const { name, perform } of RESTARTS) {
     it(`each failure domain has an owner again after ${name}`, async () => {
       await prove({ seed: 0 }, async site => {
-        act(site)
+        perform(site)
         await site.advance(TAKEOVER_MILLISECONDS)
         assertOneOwnerEach(site)
       })
     })
   }
 
-  // Renewals that were given up shifted every later confirmation, and the holder of the term never acted again.
-  for (const milliseconds of CUT_MILLISECONDS) {
-    it(`a successor that is cut off from the log for ${milliseconds} ms acts afterwards`, async () => {
+  // Abandoned renewals shifted every later confirmation, so that the holder of the term never acted as owner again.
+  for (const milliseconds of PARTITION_MILLISECONDS) {
+    it(`a successor that is cut off from the log for ${milliseconds} ms acts as owner afterwards`, async () => {
       await prove({ seed: 0 }, async site => {
         const elector = site.alive().find(({ entry, failureDomain }) => failureDomain === 'gent-a' && !entry.components.ownership.isOwner())
         elector?.process.pause()
--- a/test/entry/retentionTask.test.ts
+++ b/test/entry/retentionTask.test.ts
@@ -18,20 +18,20 @@
 import type { LinkTransport } from '../../src/links/linkHub.js'
 import { PlatformLog } from '../../src/links/platformLog.js'
 
-const RETAINED = 40
+const RETAINED_RECORDS = 40
 const DOMAIN = 'zone-a'
 const JOBS = domainStream('jobs', DOMAIN)
 
-/** Streams in memory that keep the last records. A read that waits is answered by the next append. */
+/** Streams in memory that retain the last records. A waiting read returns at the next append. */
 class MemoryLog extends PlatformLog {
   private readonly streams = new Map<string, RecordEnvelope[]>()
   private readonly appended = new Emitter<void>()
 
   override async append (stream: string, records: readonly RecordEnvelope[]): Promise<AppendAnswer> {
-    const kept = this.streams.get(stream) ?? []
-    this.streams.set(stream, [...kept, ...records])
+    const existing = this.streams.get(stream) ?? []
+    this.streams.set(stream, [...existing, ...records])
     this.appended.fire()
-    return { firstOffset: kept.length, nextOffset: kept.length + records.length }
+    return { firstOffset: existing.length, nextOffset: existing.length + records.length }
   }
 
   override async read (stream: string, from: number, limit: number, waitMilliseconds: number, signal?: AbortSignal): Promise<ReadAnswer> {
@@ -47,7 +47,7 @@
       })
     }
     const all = this.streams.get(stream) ?? []
-    const retainedFrom = Math.max(0, all.length - RETAINED)
+    const retainedFrom = Math.max(0, all.length - RETAINED_RECORDS)
     const start = Math.max(from, retainedFrom)
     return { retainedFrom, nextOffset: all.length, records: all.slice(start, start + limit).map((record, index) => ({ offset: start + index, record })) }
   }
@@ -70,7 +70,7 @@
   return { type: 'configurationPublished', baseRevision, text: text(site), publisher: 'operator' }
 }
 
-/** What an instance rebuilds from the log. */
+/** State that an instance rebuilds from the log. */
 class Reader {
   private readonly store = new DisposableStore()
   readonly jobs: JobTask
@@ -81,9 +81,9 @@
   constructor (log: MemoryLog, owner: boolean) {
     const logger = new Logger('entry', 'error', () => {})
     const clock = new LogicalClock()
-    const context = { settings: { failureDomain: DOMAIN, instance: 'entry', logRetentionRecords: RETAINED }, logger, events: new EventLog('entry', 'one', clock, () => {}) } as unknown as EntryContext
-    const none = new Emitter<never>()
-    const links = { onDidReceive: none.event, onDidOpen: none.event, onDidClose: none.event, peers: () => [] } as unknown as LinkTransport
+    const context = { settings: { failureDomain: DOMAIN, instance: 'entry', logRetentionRecords: RETAINED_RECORDS }, logger, events: new EventLog('entry', 'one', clock, () => {}) } as unknown as EntryContext
+    const neverFires = new Emitter<never>()
+    const links = { onDidReceive: neverFires.event, onDidOpen: neverFires.event, onDidClose: neverFires.event, peers: () => [] } as unknown as LinkTransport
     const createAppender = (stream: string): LogAppender => new LogAppender(stream, 'entry', log, clock, logger, new Random(1))
     const [jobFollower, configurationFollower] = [JOBS, CONFIGURATION_STREAM].map(stream => this.store.add(new LogFollower(stream, log, clock, logger, new Random(1)))) as [LogFollower, LogFollower]
     this.followers = [jobFollower, configurationFollower]
@@ -98,9 +98,9 @@
   }
 }
 
-/** Guards against jobs or the text in force that a late starter can no longer find, and against ended jobs that come back. */
+/** Guards against the loss of open jobs or of the configuration in force for instances that start later, and against ended jobs that reappear. */
 describe('RetentionTask', () => {
-  it('a late starter rebuilds open jobs and the decided text after several times the retention', async context => {
+  it('rebuilds open jobs and the decided configuration in an instance that starts after several retention periods', async context => {
     const log = new MemoryLog()
     const owner = new Reader(log, true)
     context.after(() => owner.dispose())
@@ -110,9 +110,9 @@
     await log.write(JOBS, 'cancel:open', { type: 'jobCancelRequested', job: 'open' })
     await log.write(JOBS, 'progress:open', { type: 'jobProgress', job: 'open', finished: [[0, 1], [3, 3]] })
     await log.write(CONFIGURATION_STREAM, 'one', published(0, 'one'))
-    for (let round = 0; round < 4 * RETAINED; round += 1) {
-      if (round === RETAINED) await log.write(JOBS, 'end:ended', { type: 'jobEnded', job: 'ended', outcome: 'finished', atMilliseconds: 0 })
-      if (round === RETAINED) await log.write(CONFIGURATION_STREAM, 'two', published(1, 'two'))
+    for (let round = 0; round < 4 * RETAINED_RECORDS; round += 1) {
+      if (round === RETAINED_RECORDS) await log.write(JOBS, 'end:ended', { type: 'jobEnded', job: 'ended', outcome: 'finished', atMilliseconds: 0 })
+      if (round === RETAINED_RECORDS) await log.write(CONFIGURATION_STREAM, 'two', published(1, 'two'))
       await log.write(JOBS, `filler-${round}`, { type: 'jobCancelRequested', job: 'none' })
       await log.write(CONFIGURATION_STREAM, `loser-${round}`, published(0, 'loser'))
       if (round % 5 === 0) await owner.retention.reappendDue()
@@ -121,8 +121,8 @@
     const late = new Reader(log, false)
     context.after(() => late.dispose())
     await settle()
-    assert.deepEqual(late.jobs.registry.openJobs().map(booked => [booked.job.identity, booked.cancelRequested]), [['open', true]])
-    // Finished tasks that a late starter does not know would run again.
+    assert.deepEqual(late.jobs.registry.openJobs().map(registered => [registered.job.identity, registered.cancelRequested]), [['open', true]])
+    // Finished tasks that the later instance did not know would run again.
     assert.deepEqual([...late.jobs.registry.find('open')?.finished ?? []], [0, 1, 3])
     assert.equal(late.configuration.inForce?.text.site, 'two')
     assert.equal(late.configuration.inForce?.revision, 2)
@@ -130,7 +130,7 @@
     assert.deepEqual([owner, late].map(reader => reader.configuration.inForce?.text.site), ['three', 'three'])
   })
 
-  it('a record of a newer schema version is skipped and counted', async () => {
+  it('skips and counts a record of a newer schema version', async () => {
     const log = new MemoryLog()
     const reader = new Reader(log, false)
     await log.write(CONFIGURATION_STREAM, 'newer', published(0, 'one'), RECORD_SCHEMA_VERSION + 1)
