--- a/src/entry/idempotencyKeyTask.ts
+++ b/src/entry/idempotencyKeyTask.ts
@@ -119,7 +119,7 @@
     return latestDecision.kind === 'run' ? { kind: 'unavailable' } : latestDecision
   }
 
-  /** Waits until a record of the key has been read from the log, whichever owner wrote it, or until the deadline. */
+  /** Waits until a record of the key has been read from the log, whichever instance wrote it, or until the deadline. */
   private async waitForReadBack (key: string, request: string, deadline: number): Promise<void> {
     while (!this.keys.isHeldBy(key, request) && monotonicNow() < deadline) {
       if (this.keys.decide(key, request, Date.now(), this.windowMilliseconds()).kind !== 'run') return
