--- a/src/programs/wiring.ts
+++ b/src/programs/wiring.ts
@@ -17,8 +17,8 @@
 import { RequestDispatcher } from '../entry/requestDispatcher.js'
 import { JobApi } from '../entry/jobApi.js'
 import { JobTask } from '../entry/jobTask.js'
-import { KeyGate } from '../entry/keyGate.js'
-import { KeyTask } from '../entry/keyTask.js'
+import { IdempotencyGuard } from '../entry/idempotencyGuard.js'
+import { IdempotencyKeyTask } from '../entry/idempotencyKeyTask.js'
 import { MembershipTask } from '../entry/membershipTask.js'
 import { MetricsRegistry } from '../entry/metricsRegistry.js'
 import { OperatorApi } from '../entry/operatorApi.js'
@@ -110,10 +110,10 @@
   const ownershipAppender = own(createAppender(domainStream('ownership', settings.failureDomain)))
   const ownership = own(new OwnershipTask(context, ownershipFollower, ownershipAppender, links, membership.membership))
   const slots = own(new SlotTask(context, ownership, configuration, membership.membership, links, () => frontDoor.demand(), () => frontDoor.hasUrgentWaiting))
-  const keys = own(new KeyTask(context, configuration, membership.membership, ownership, keyFollower, createAppender, agent, text => hashing.h64(text)))
+  const keys = own(new IdempotencyKeyTask(context, configuration, membership.membership, ownership, keyFollower, createAppender, agent, text => hashing.h64(text)))
   const forwarder = new Forwarder(context, membership.membership, own(connections.peers))
   const executorClient = own(connections.executors)
-  const frontDoor: RequestDispatcher = own(new RequestDispatcher(context, configuration, membership.membership, slots.holder, executorClient, new LeastExpectedTimeChooser(), slots, new KeyGate(keys), forwarder))
+  const frontDoor: RequestDispatcher = own(new RequestDispatcher(context, configuration, membership.membership, slots.holder, executorClient, new LeastExpectedTimeChooser(), slots, new IdempotencyGuard(keys), forwarder))
   own(slots.onDidChangeGrants(() => frontDoor.dispatchAll()))
   const jobs = own(new JobTask(context, configuration, jobFollower, createAppender))
   own(new RetentionTask(context, ownership, configuration, jobs, configurationFollower, jobFollower, createAppender))
@@ -122,7 +122,7 @@
   const followers = [configurationFollower, ownershipFollower, jobFollower, keyFollower]
   const metrics = new MetricsRegistry()
   metrics.addGauge('active_requests', 'Requests accepted and not yet answered to their end', () => frontDoor.activeRequests)
-  metrics.addGauge('open_jobs', 'Jobs of the failure domain that have not ended', () => jobs.book.openJobs().length)
+  metrics.addGauge('open_jobs', 'Jobs of the failure domain that have not ended', () => jobs.registry.openJobs().length)
   metrics.addGauge('configuration_revision', 'Revision of the site text in force', () => configuration.inForce?.revision ?? 0)
   metrics.addGauge('link_bytes', 'Bytes sent and received on links', () => links.bytesExchanged)
   metrics.addGauge('processor_seconds', 'Processor time used by the process', () => process.cpuUsage().user / 1e6 + process.cpuUsage().system / 1e6)
