--- a/src/contracts/jobs.ts
+++ b/src/contracts/jobs.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod'
 import { resourcesSchema } from './resources.js'
-import { urgencySchema } from './siteText.js'
+import { urgencySchema } from './siteConfiguration.js'
 
 /** Kinds of jobs: long-running services, deferrable batch work, and gangs that need all tasks at once. */
 export const jobKindSchema = z.enum(['service', 'batch', 'gang'])
--- a/src/entry/callerRequest.ts
+++ b/src/entry/callerRequest.ts
@@ -1,6 +1,6 @@
 import type { Readable } from 'node:stream'
 import type { ServingError } from '../contracts/verdict.js'
-import type { Service, Urgency } from '../contracts/siteText.js'
+import type { Service, Urgency } from '../contracts/siteConfiguration.js'
 import type { DispatchableRequest } from '../requests/poolDispatcher.js'
 import type { RequestBody } from './requestBody.js'
 
--- a/src/entry/forwarder.ts
+++ b/src/entry/forwarder.ts
@@ -1,4 +1,4 @@
-import type { SiteText } from '../contracts/siteText.js'
+import type { SiteText } from '../contracts/siteConfiguration.js'
 import { servingErrorSchema, type ServingError } from '../contracts/verdict.js'
 import type { ExecutorAnswer, ExecutorClient } from '../links/executorClient.js'
 import { createPeerProof, isValidPeerProof, PEER_PROOF_HEADER, PROOF_VALID_MILLISECONDS } from '../links/peerProof.js'
--- a/src/entry/keyGate.ts
+++ b/src/entry/keyGate.ts
@@ -1,6 +1,6 @@
 import { pipeline, Readable, Transform } from 'node:stream'
 import type { ServingError } from '../contracts/verdict.js'
-import type { Service } from '../contracts/siteText.js'
+import type { Service } from '../contracts/siteConfiguration.js'
 import { CALLER_HEADERS } from '../requests/headers.js'
 import { errorResult, isIdempotent, type ServingResult, type CallerRequest } from './callerRequest.js'
 import { RECORDED_ANSWER_BYTES, type KeyOutcome, type KeyTask } from './keyTask.js'
--- a/src/load/scenario.ts
+++ b/src/load/scenario.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod'
 import { jobSubmissionSchema } from '../contracts/jobs.js'
-import { urgencySchema } from '../contracts/siteText.js'
+import { urgencySchema } from '../contracts/siteConfiguration.js'
 
 const offset = z.number().int().nonnegative()
 const share = z.number().min(0).max(1).default(0)
--- a/src/programs/commandLine.ts
+++ b/src/programs/commandLine.ts
@@ -3,7 +3,7 @@
 import { z } from 'zod'
 import { describeError } from '../base/logger.js'
 import { formatFinding, parseJsonWithComments } from '../base/jsonWithComments.js'
-import { checkSiteText, type SiteText } from '../contracts/siteText.js'
+import { checkSiteText, type SiteText } from '../contracts/siteConfiguration.js'
 
 /** Version that every binary prints. */
 export const VERSION = '0.1.0'
--- a/src/requests/executorChooser.ts
+++ b/src/requests/executorChooser.ts
@@ -1,5 +1,5 @@
 import type { Random } from '../base/random.js'
-import type { Urgency } from '../contracts/siteText.js'
+import type { Urgency } from '../contracts/siteConfiguration.js'
 import type { Executor } from '../machines/executor.js'
 
 /** An executor with a free slot that a request may be sent to. */
--- a/src/requests/poolDispatcher.ts
+++ b/src/requests/poolDispatcher.ts
@@ -1,4 +1,4 @@
-import { urgencyRank, URGENCY_CLASSES, type Urgency } from '../contracts/siteText.js'
+import { urgencyRank, URGENCY_CLASSES, type Urgency } from '../contracts/siteConfiguration.js'
 import type { Executor } from '../machines/executor.js'
 import type { ExecutorCandidate, ExecutorChooser } from './executorChooser.js'
 import { DISPATCHES_PER_LESS_URGENT_TURN, WaitingQueue, type WaitingRequest } from './waitingQueue.js'
--- a/src/requests/waitingQueue.ts
+++ b/src/requests/waitingQueue.ts
@@ -1,5 +1,5 @@
 import FlatQueue from 'flatqueue'
-import { URGENCY_CLASSES, urgencyRank, type Urgency } from '../contracts/siteText.js'
+import { URGENCY_CLASSES, urgencyRank, type Urgency } from '../contracts/siteConfiguration.js'
 
 /** A request that waits for a slot. Times are monotonic milliseconds. */
 export interface WaitingRequest {
--- a/src/scheduling/jobQueue.ts
+++ b/src/scheduling/jobQueue.ts
@@ -1,6 +1,6 @@
 import FlatQueue from 'flatqueue'
 import { fitsWithin, type Resources } from '../contracts/resources.js'
-import { URGENCY_CLASSES } from '../contracts/siteText.js'
+import { URGENCY_CLASSES } from '../contracts/siteConfiguration.js'
 import type { JobEntry } from './jobState.js'
 import type { WorkerEntry } from './workerEntry.js'
 
--- a/src/scheduling/jobState.ts
+++ b/src/scheduling/jobState.ts
@@ -1,5 +1,5 @@
 import type { Job, JobState } from '../contracts/jobs.js'
-import { urgencyRank } from '../contracts/siteText.js'
+import { urgencyRank } from '../contracts/siteConfiguration.js'
 import type { TeamUsage } from './teamShares.js'
 import type { Attempt } from '../contracts/workerProtocol.js'
 
--- a/src/zones/configurationHistory.ts
+++ b/src/zones/configurationHistory.ts
@@ -1,4 +1,4 @@
-import { checkSiteText, type SiteText } from '../contracts/siteText.js'
+import { checkSiteText, type SiteText } from '../contracts/siteConfiguration.js'
 import type { RecordBody, StoredRecord } from '../contracts/records.js'
 import { formatFinding } from '../base/jsonWithComments.js'
 
--- a/test/contracts/siteText.test.ts
+++ b/test/contracts/siteText.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import { formatFinding } from '../../src/base/jsonWithComments.js'
-import { checkSiteText } from '../../src/contracts/siteText.js'
+import { checkSiteText } from '../../src/contracts/siteConfiguration.js'
 
 const VALID = {
   site: 'test',
--- a/test/fakes/fakeSite.ts
+++ b/test/fakes/fakeSite.ts
@@ -3,7 +3,7 @@
 import type { JobSubmission } from '../../src/contracts/jobs.js'
 import type { ListedInstance } from '../../src/contracts/platformProtocol.js'
 import { entrySettingsSchema } from '../../src/contracts/settings.js'
-import { checkSiteText, type SiteText, type Urgency } from '../../src/contracts/siteText.js'
+import { checkSiteText, type SiteText, type Urgency } from '../../src/contracts/siteConfiguration.js'
 import type { Verdict } from '../../src/contracts/verdict.js'
 import type { EntryInstance } from '../../src/entry/entryInstance.js'
 import { RequestBody } from '../../src/entry/requestBody.js'
--- a/test/requests/executorChooser.test.ts
+++ b/test/requests/executorChooser.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import type { Urgency } from '../../src/contracts/siteText.js'
+import type { Urgency } from '../../src/contracts/siteConfiguration.js'
 import { ejectOutlier, Executor } from '../../src/machines/executor.js'
 import { LeastExpectedTimeChooser, type ExecutorCandidate } from '../../src/requests/executorChooser.js'
 
--- a/test/requests/poolDispatcher.test.ts
+++ b/test/requests/poolDispatcher.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import type { Urgency } from '../../src/contracts/siteText.js'
+import type { Urgency } from '../../src/contracts/siteConfiguration.js'
 import { Executor } from '../../src/machines/executor.js'
 import { LeastExpectedTimeChooser } from '../../src/requests/executorChooser.js'
 import { PoolDispatcher, type DispatchableRequest } from '../../src/requests/poolDispatcher.js'
