--- a/src/contracts/siteConfiguration.ts
+++ b/src/contracts/siteConfiguration.ts
@@ -63,19 +63,19 @@
   teams: z.record(name, teamSchema),
   limits: limitsSchema.default(() => limitsSchema.parse({}))
 })
-export type SiteText = z.infer<typeof siteTextSchema>
-export type Service = SiteText['services'][string]
+export type SiteConfiguration = z.infer<typeof siteTextSchema>
+export type Service = SiteConfiguration['services'][string]
 
 /** Result of checking a site text: the text, or every finding with its place. */
 export type CheckedSiteText =
-  | { readonly kind: 'valid', readonly text: SiteText }
+  | { readonly kind: 'valid', readonly text: SiteConfiguration }
   | { readonly kind: 'invalid', readonly findings: readonly Finding[] }
 
 type Problem = readonly [path: KeyPath, message: string]
 
 /** Parses a site text and checks its references, cycles, urgencies and quotas. Does not throw on bad input. */
 export function checkSiteText (file: string, source: string): CheckedSiteText {
-  const parsed: ParsedText<SiteText> = parseJsonWithComments(file, source, siteTextSchema as z.ZodType<SiteText>)
+  const parsed: ParsedText<SiteConfiguration> = parseJsonWithComments(file, source, siteTextSchema as z.ZodType<SiteConfiguration>)
   if (parsed.kind === 'invalid') return parsed
   const problems = [...referenceProblems(parsed.value), ...dependencyProblems(parsed.value), ...quotaProblems(parsed.value)]
   if (problems.length === 0) return { kind: 'valid', text: parsed.value }
@@ -83,7 +83,7 @@
 }
 
 /** Capacity of all workers of a site. */
-export function siteCapacity (text: SiteText): Resources {
+export function siteCapacity (text: SiteConfiguration): Resources {
   let total = NO_RESOURCES
   for (const pool of Object.values(text.workerPools)) {
     const workers = Object.values(pool.workers).reduce((sum, count) => sum + count, 0)
@@ -92,7 +92,7 @@
   return total
 }
 
-function referenceProblems (text: SiteText): Problem[] {
+function referenceProblems (text: SiteConfiguration): Problem[] {
   const problems: Problem[] = []
   if (Object.keys(text.failureDomains).length === 0) problems.push([['failureDomains'], 'at least one failure domain is expected'])
   for (const [serviceName, service] of Object.entries(text.services)) {
@@ -115,7 +115,7 @@
   return problems
 }
 
-function dependencyProblems (text: SiteText): Problem[] {
+function dependencyProblems (text: SiteConfiguration): Problem[] {
   const problems: Problem[] = []
   const finished = new Set<string>()
   const visit = (serviceName: string, path: readonly string[]): void => {
@@ -140,7 +140,7 @@
   return problems
 }
 
-function quotaProblems (text: SiteText): Problem[] {
+function quotaProblems (text: SiteConfiguration): Problem[] {
   const capacity = siteCapacity(text)
   const problems: Problem[] = []
   for (const [teamName, team] of Object.entries(text.teams)) {
--- a/src/entry/forwarder.ts
+++ b/src/entry/forwarder.ts
@@ -1,4 +1,4 @@
-import type { SiteText } from '../contracts/siteConfiguration.js'
+import type { SiteConfiguration } from '../contracts/siteConfiguration.js'
 import { servingErrorSchema, type ServingError } from '../contracts/verdict.js'
 import type { ExecutorAnswer, ExecutorClient } from '../links/executorClient.js'
 import { createPeerProof, isValidPeerProof, PEER_PROOF_HEADER, PROOF_VALID_MILLISECONDS } from '../links/peerProof.js'
@@ -27,7 +27,7 @@
   ) {}
 
   /** Selects a random live instance in another failure domain that has a live executor for the request. Returns undefined if there is none, or if the request was already forwarded. */
-  selectTarget (pending: PendingRequest, text: SiteText): ListedEntry | undefined {
+  selectTarget (pending: PendingRequest, text: SiteConfiguration): ListedEntry | undefined {
     if (pending.request.isForwarded) return undefined
     const pool = pending.service.executorPool
     const otherDomains = Object.keys(text.executorPools[pool]?.executors ?? {}).filter(domain => domain !== this.context.settings.failureDomain)
--- a/src/entry/jobTask.ts
+++ b/src/entry/jobTask.ts
@@ -4,7 +4,7 @@
 import type { Job, JobSubmission } from '../contracts/jobs.js'
 import type { Resources } from '../contracts/resources.js'
 import { domainStream, type RecordBody } from '../contracts/records.js'
-import type { SiteText } from '../contracts/siteConfiguration.js'
+import type { SiteConfiguration } from '../contracts/siteConfiguration.js'
 import type { ServingError } from '../contracts/verdict.js'
 import type { AppendOutcome, LogAppender } from '../links/logAppender.js'
 import type { LogFollower } from '../links/logFollower.js'
@@ -133,7 +133,7 @@
   return dot > 0 ? identity.slice(0, dot) : undefined
 }
 
-function checkSubmission (submission: JobSubmission, text: SiteText): ServingError | undefined {
+function checkSubmission (submission: JobSubmission, text: SiteConfiguration): ServingError | undefined {
   if (!(submission.team in text.teams)) {
     return { code: 'malformedRequest', verdict: 'notRun', message: `team: unknown team '${submission.team}'` }
   }
@@ -144,7 +144,7 @@
 }
 
 /** Chooses, by the seed, one of the failure domains that could carry the job. */
-function chooseFailureDomain (submission: JobSubmission, text: SiteText, seed: string): string | undefined {
+function chooseFailureDomain (submission: JobSubmission, text: SiteConfiguration, seed: string): string | undefined {
   const candidates = Object.keys(text.failureDomains)
     .filter(domain => submission.failureDomain === undefined || domain === submission.failureDomain)
     .filter(domain => couldEverFit(submission, workerCapacities(text, domain)))
@@ -154,7 +154,7 @@
 }
 
 /** Capacities of the workers that the site text gives a failure domain. */
-export function workerCapacities (text: SiteText, failureDomain: string): Resources[] {
+export function workerCapacities (text: SiteConfiguration, failureDomain: string): Resources[] {
   const capacities: Resources[] = []
   for (const pool of Object.values(text.workerPools)) {
     const { processorsThousandths, memoryBytes, accelerators } = pool
--- a/src/entry/slotTask.ts
+++ b/src/entry/slotTask.ts
@@ -2,7 +2,7 @@
 import { describeError } from '../base/logger.js'
 import { Task } from '../base/task.js'
 import { decodeGrants, decodeUses, encodeGrants, encodeUses, type LinkMessageOf } from '../contracts/linkMessages.js'
-import type { SiteText } from '../contracts/siteConfiguration.js'
+import type { SiteConfiguration } from '../contracts/siteConfiguration.js'
 import type { LinkTransport } from '../links/linkHub.js'
 import type { PeerIdentity } from '../links/handshake.js'
 import type { Membership } from '../machines/membership.js'
@@ -183,7 +183,7 @@
 }
 
 /** Limits of the executors of a failure domain. */
-export function executorLimits (text: SiteText, membership: Membership, failureDomain: string, runBounds: RunTimeBounds, now: number): ExecutorLimits[] {
+export function executorLimits (text: SiteConfiguration, membership: Membership, failureDomain: string, runBounds: RunTimeBounds, now: number): ExecutorLimits[] {
   const limits: ExecutorLimits[] = []
   const longest = new Map(Object.keys(text.executorPools).map(pool => [pool, runBounds.update(pool, longestRun(text, pool), now)]))
   for (const executor of membership.executors(failureDomain)) {
@@ -194,6 +194,6 @@
   return limits
 }
 
-function longestRun (text: SiteText, pool: string): number {
+function longestRun (text: SiteConfiguration, pool: string): number {
   return Math.max(0, ...Object.values(text.services).filter(service => service.executorPool === pool).map(service => service.maximumRunMilliseconds))
 }
--- a/src/programs/embeddedSite.ts
+++ b/src/programs/embeddedSite.ts
@@ -4,7 +4,7 @@
 import { LogicalClock } from '../base/logicalClock.js'
 import type { LineSink } from '../base/logger.js'
 import { EventLog } from '../contracts/eventLog.js'
-import type { SiteText } from '../contracts/siteConfiguration.js'
+import type { SiteConfiguration } from '../contracts/siteConfiguration.js'
 import type { EntryInstance } from '../entry/entryInstance.js'
 import { LoadRunner } from '../load/loadRunner.js'
 import type { LoadResult } from '../load/loadResult.js'
@@ -29,7 +29,7 @@
   private readonly agent = new Agent({ connections: 128 })
   private runner: LoadRunner | undefined
 
-  constructor (private readonly text: SiteText, private readonly source: string, private readonly sink: LineSink) {
+  constructor (private readonly text: SiteConfiguration, private readonly source: string, private readonly sink: LineSink) {
     this.standin = createSiteStandin(text, {
       host: HOST, port: 0, listLagMilliseconds: 300, retainedRecords: 100_000, appendsPerSecond: 400, appendMilliseconds: 4, serviceMilliseconds: 20, seed: 1, logLevel: 'warn'
     }, sink)
--- a/src/programs/wiring.ts
+++ b/src/programs/wiring.ts
@@ -8,7 +8,7 @@
 import { EventLog } from '../contracts/eventLog.js'
 import { CONFIGURATION_STREAM, domainStream } from '../contracts/records.js'
 import type { EntrySettings } from '../contracts/settings.js'
-import type { SiteText } from '../contracts/siteConfiguration.js'
+import type { SiteConfiguration } from '../contracts/siteConfiguration.js'
 import { CallerServer } from '../entry/callerServer.js'
 import { ConfigurationTask } from '../entry/configurationTask.js'
 import type { EntryContext } from '../entry/entryContext.js'
@@ -137,7 +137,7 @@
 }
 
 /** Wires the stand-in of platform, workers and executors of a site text. */
-export function createSiteStandin (text: SiteText, options: SiteOptions & { seed: number, logLevel: LogLevel }, sink: LineSink): SiteStandin {
+export function createSiteStandin (text: SiteConfiguration, options: SiteOptions & { seed: number, logLevel: LogLevel }, sink: LineSink): SiteStandin {
   const logger = new Logger('standin', options.logLevel, sink)
   const events = new EventLog('standin', randomUUID(), new LogicalClock(), sink)
   return new SiteStandin({ logger, events, random: new Random(options.seed) }, text, options)
--- a/src/standins/siteStandin.ts
+++ b/src/standins/siteStandin.ts
@@ -3,7 +3,7 @@
 import { DisposableObject } from '../base/disposable.js'
 import type { ListedInstance } from '../contracts/platformProtocol.js'
 import type { StandinLedger } from '../contracts/standinLedger.js'
-import type { SiteText } from '../contracts/siteConfiguration.js'
+import type { SiteConfiguration } from '../contracts/siteConfiguration.js'
 import { ExecutorStandin } from './executorStandin.js'
 import { PlatformStandin, type PlatformOptions } from './platformStandin.js'
 import type { StandinContext } from './standinContext.js'
@@ -32,7 +32,7 @@
   readonly workers: WorkerStandin[] = []
   private readonly listed = new Map<string, ListedInstance>()
 
-  constructor (private readonly context: StandinContext, private readonly text: SiteText, private readonly options: SiteOptions) {
+  constructor (private readonly context: StandinContext, private readonly text: SiteConfiguration, private readonly options: SiteOptions) {
     super()
     this.platform = this.register(new PlatformStandin(context, options, () => [...this.listed.values()]))
   }
--- a/src/zones/configurationHistory.ts
+++ b/src/zones/configurationHistory.ts
@@ -1,4 +1,4 @@
-import { checkSiteText, type SiteText } from '../contracts/siteConfiguration.js'
+import { checkSiteText, type SiteConfiguration } from '../contracts/siteConfiguration.js'
 import type { RecordBody, StoredRecord } from '../contracts/records.js'
 import { formatFinding } from '../base/jsonWithComments.js'
 
@@ -6,7 +6,7 @@
 export interface ConfigurationRevision {
   readonly revision: number
   readonly source: string
-  readonly text: SiteText
+  readonly text: SiteConfiguration
 }
 
 /** Outcome of a publish record. */
--- a/test/entry/callerServer.test.ts
+++ b/test/entry/callerServer.test.ts
@@ -7,7 +7,7 @@
 import { Logger } from '../../src/base/logger.js'
 import { Random } from '../../src/base/random.js'
 import { EventLog } from '../../src/contracts/eventLog.js'
-import { checkSiteText, type SiteText } from '../../src/contracts/siteConfiguration.js'
+import { checkSiteText, type SiteConfiguration } from '../../src/contracts/siteConfiguration.js'
 import { CallerServer } from '../../src/entry/callerServer.js'
 import type { ConfigurationTask } from '../../src/entry/configurationTask.js'
 import type { EntryContext } from '../../src/entry/entryContext.js'
@@ -24,7 +24,7 @@
 
 const LINK_KEY = '0123456789abcdef'
 
-function siteText (): SiteText {
+function siteText (): SiteConfiguration {
   const service = { urgency: 'urgent', executorPool: 'pool', deadlineMilliseconds: 1500, maximumRunMilliseconds: 1000 }
   const checked = checkSiteText('test', JSON.stringify({
     site: 'test',
--- a/test/fakes/fakeSite.ts
+++ b/test/fakes/fakeSite.ts
@@ -3,7 +3,7 @@
 import type { JobSubmission } from '../../src/contracts/jobs.js'
 import type { ListedInstance } from '../../src/contracts/platformProtocol.js'
 import { entrySettingsSchema } from '../../src/contracts/settings.js'
-import { checkSiteText, type SiteText, type Urgency } from '../../src/contracts/siteConfiguration.js'
+import { checkSiteText, type SiteConfiguration, type Urgency } from '../../src/contracts/siteConfiguration.js'
 import type { Verdict } from '../../src/contracts/verdict.js'
 import type { EntryInstance } from '../../src/entry/entryInstance.js'
 import { RequestBody } from '../../src/entry/requestBody.js'
@@ -307,7 +307,7 @@
       for (const { failureDomain } of machines) byDomain[failureDomain] = (byDomain[failureDomain] ?? 0) + 1
       return byDomain
     }
-    const service = (urgency: Urgency, idempotent: boolean): SiteText['services'][string] => ({ urgency, dependsOn: [], executorPool: 'swatch', idempotent, deadlineMilliseconds: 3000, maximumRunMilliseconds: MAXIMUM_RUN_MILLISECONDS })
+    const service = (urgency: Urgency, idempotent: boolean): SiteConfiguration['services'][string] => ({ urgency, dependsOn: [], executorPool: 'swatch', idempotent, deadlineMilliseconds: 3000, maximumRunMilliseconds: MAXIMUM_RUN_MILLISECONDS })
     const text = JSON.stringify({
       site: `fake-${number}`,
       failureDomains: Object.fromEntries(this.failureDomains.map(name => [name, { region: 'be-vl', allowedCapacityPercent }])),
