--- a/src/contracts/siteConfiguration.ts
+++ b/src/contracts/siteConfiguration.ts
@@ -54,7 +54,7 @@
 })
 
 /** The one text by which operators drive a site. */
-export const siteTextSchema = z.strictObject({
+export const siteConfigurationSchema = z.strictObject({
   site: name,
   failureDomains: z.record(name, failureDomainSchema),
   services: z.record(name, serviceSchema),
@@ -63,7 +63,7 @@
   teams: z.record(name, teamSchema),
   limits: limitsSchema.default(() => limitsSchema.parse({}))
 })
-export type SiteConfiguration = z.infer<typeof siteTextSchema>
+export type SiteConfiguration = z.infer<typeof siteConfigurationSchema>
 export type Service = SiteConfiguration['services'][string]
 
 /** Result of checking a site text: the text, or every finding with its place. */
@@ -75,7 +75,7 @@
 
 /** Parses a site text and checks its references, cycles, urgencies and quotas. Does not throw on bad input. */
 export function checkSiteText (file: string, source: string): CheckedSiteText {
-  const parsed: ParsedText<SiteConfiguration> = parseJsonWithComments(file, source, siteTextSchema as z.ZodType<SiteConfiguration>)
+  const parsed: ParsedText<SiteConfiguration> = parseJsonWithComments(file, source, siteConfigurationSchema as z.ZodType<SiteConfiguration>)
   if (parsed.kind === 'invalid') return parsed
   const problems = [...referenceProblems(parsed.value), ...dependencyProblems(parsed.value), ...quotaProblems(parsed.value)]
   if (problems.length === 0) return { kind: 'valid', text: parsed.value }
