--- a/src/contracts/siteConfiguration.ts
+++ b/src/contracts/siteConfiguration.ts
@@ -67,14 +67,14 @@
 export type Service = SiteConfiguration['services'][string]
 
 /** Result of checking a site text: the text, or every finding with its place. */
-export type CheckedSiteText =
+export type CheckedSiteConfiguration =
   | { readonly kind: 'valid', readonly text: SiteConfiguration }
   | { readonly kind: 'invalid', readonly findings: readonly Finding[] }
 
 type Problem = readonly [path: KeyPath, message: string]
 
 /** Parses a site text and checks its references, cycles, urgencies and quotas. Does not throw on bad input. */
-export function checkSiteText (file: string, source: string): CheckedSiteText {
+export function checkSiteText (file: string, source: string): CheckedSiteConfiguration {
   const parsed: ParsedText<SiteConfiguration> = parseJsonWithComments(file, source, siteConfigurationSchema as z.ZodType<SiteConfiguration>)
   if (parsed.kind === 'invalid') return parsed
   const problems = [...referenceProblems(parsed.value), ...dependencyProblems(parsed.value), ...quotaProblems(parsed.value)]
