--- a/src/contracts/siteConfiguration.ts
+++ b/src/contracts/siteConfiguration.ts
@@ -68,7 +68,7 @@
 
 /** Result of checking a site text: the text, or every finding with its place. */
 export type CheckedSiteConfiguration =
-  | { readonly kind: 'valid', readonly text: SiteConfiguration }
+  | { readonly kind: 'valid', readonly configuration: SiteConfiguration }
   | { readonly kind: 'invalid', readonly findings: readonly Finding[] }
 
 type Problem = readonly [path: KeyPath, message: string]
@@ -78,7 +78,7 @@
   const parsed: ParsedText<SiteConfiguration> = parseJsonWithComments(file, source, siteConfigurationSchema as z.ZodType<SiteConfiguration>)
   if (parsed.kind === 'invalid') return parsed
   const problems = [...referenceProblems(parsed.value), ...dependencyProblems(parsed.value), ...quotaProblems(parsed.value)]
-  if (problems.length === 0) return { kind: 'valid', text: parsed.value }
+  if (problems.length === 0) return { kind: 'valid', configuration: parsed.value }
   return { kind: 'invalid', findings: problems.map(([path, message]) => parsed.locate(path, message)) }
 }
 
--- a/src/programs/commandLine.ts
+++ b/src/programs/commandLine.ts
@@ -65,7 +65,7 @@
 export function readSiteText (file: string): { source: string, text: SiteConfiguration } {
   const source = readText(file)
   const checked = checkSiteText(file, source)
-  if (checked.kind === 'valid') return { source, text: checked.text }
+  if (checked.kind === 'valid') return { source, text: checked.configuration }
   throw new UsageError(checked.findings.map(formatFinding).join('\n'))
 }
 
--- a/src/zones/configurationHistory.ts
+++ b/src/zones/configurationHistory.ts
@@ -88,7 +88,7 @@
     if (checked.kind === 'invalid') return { kind: 'invalid', reason: checked.findings.map(formatFinding).join('; ') }
     this.decided += 1
     this.decidedBy = body.publisher
-    this.activate({ revision: this.decided, source: body.text, text: checked.text })
+    this.activate({ revision: this.decided, source: body.text, text: checked.configuration })
     return { kind: 'accepted', revision: this.decided }
   }
 
@@ -97,7 +97,7 @@
     if (revision <= (this.current?.revision ?? 0)) return false
     const checked = checkSiteText('relayed text', source)
     if (checked.kind === 'invalid') return false
-    this.activate({ revision, source, text: checked.text })
+    this.activate({ revision, source, text: checked.configuration })
     return true
   }
 
--- a/test/entry/callerServer.test.ts
+++ b/test/entry/callerServer.test.ts
@@ -36,7 +36,7 @@
     limits: { requestBodyBytes: 1024 * 1024 }
   }))
   if (checked.kind !== 'valid') throw new Error(JSON.stringify(checked.findings))
-  return checked.text
+  return checked.configuration
 }
 
 /** Executor that records the raw text it receives and reacts with `onData`. */
--- a/test/entry/entryInstance.test.ts
+++ b/test/entry/entryInstance.test.ts
@@ -57,7 +57,7 @@
     const source = readFileSync(SITE, 'utf8')
     const checked = checkSiteText('site.jsonc', source)
     assert.ok(checked.kind === 'valid')
-    standin = createSiteStandin(checked.text, {
+    standin = createSiteStandin(checked.configuration, {
       host: '127.0.0.1', port: 0, listLagMilliseconds: 100, retainedRecords: 100_000, appendsPerSecond: 400, appendMilliseconds: 4, serviceMilliseconds: SERVICE_MILLISECONDS, seed: 1, logLevel: 'warn'
     }, () => {})
     await standin.start()
--- a/test/programs/embeddedSite.test.ts
+++ b/test/programs/embeddedSite.test.ts
@@ -38,7 +38,7 @@
     const checked = checkSiteText('site.jsonc', source)
     assert.ok(checked.kind === 'valid')
     const lines: string[] = []
-    const site = new EmbeddedSite(checked.text, source, line => lines.push(line))
+    const site = new EmbeddedSite(checked.configuration, source, line => lines.push(line))
     try {
       await site.start()
       const result = await site.run(SCENARIO)
--- a/test/programs/gracefulShutdown.test.ts
+++ b/test/programs/gracefulShutdown.test.ts
@@ -33,7 +33,7 @@
 async function startStandin (source: string): Promise<SiteStandin> {
   const checked = checkSiteText('site.jsonc', source)
   assert.ok(checked.kind === 'valid')
-  const standin = createSiteStandin(checked.text, {
+  const standin = createSiteStandin(checked.configuration, {
     host: '127.0.0.1', port: 0, listLagMilliseconds: 100, retainedRecords: 100_000, appendsPerSecond: 400, appendMilliseconds: 4, serviceMilliseconds: 20, seed: 1, logLevel: 'warn'
   }, () => {})
   await standin.start()
