--- a/src/contracts/siteConfiguration.ts
+++ b/src/contracts/siteConfiguration.ts
@@ -74,7 +74,7 @@
 type Problem = readonly [path: KeyPath, message: string]
 
 /** Parses a site text and checks its references, cycles, urgencies and quotas. Does not throw on bad input. */
-export function checkSiteText (file: string, source: string): CheckedSiteConfiguration {
+export function checkSiteConfiguration (file: string, source: string): CheckedSiteConfiguration {
   const parsed: ParsedText<SiteConfiguration> = parseJsonWithComments(file, source, siteConfigurationSchema as z.ZodType<SiteConfiguration>)
   if (parsed.kind === 'invalid') return parsed
   const problems = [...referenceProblems(parsed.value), ...dependencyProblems(parsed.value), ...quotaProblems(parsed.value)]
--- a/src/programs/commandLine.ts
+++ b/src/programs/commandLine.ts
@@ -3,7 +3,7 @@
 import { z } from 'zod'
 import { describeError } from '../base/logger.js'
 import { formatFinding, parseJsonWithComments } from '../base/jsonWithComments.js'
-import { checkSiteText, type SiteConfiguration } from '../contracts/siteConfiguration.js'
+import { checkSiteConfiguration, type SiteConfiguration } from '../contracts/siteConfiguration.js'
 
 /** Version that every binary prints. */
 export const VERSION = '0.1.0'
@@ -64,7 +64,7 @@
 /** Reads and checks a site text; throws a `UsageError` with every finding. */
 export function readSiteText (file: string): { source: string, text: SiteConfiguration } {
   const source = readText(file)
-  const checked = checkSiteText(file, source)
+  const checked = checkSiteConfiguration(file, source)
   if (checked.kind === 'valid') return { source, text: checked.configuration }
   throw new UsageError(checked.findings.map(formatFinding).join('\n'))
 }
--- a/src/zones/configurationHistory.ts
+++ b/src/zones/configurationHistory.ts
@@ -1,4 +1,4 @@
-import { checkSiteText, type SiteConfiguration } from '../contracts/siteConfiguration.js'
+import { checkSiteConfiguration, type SiteConfiguration } from '../contracts/siteConfiguration.js'
 import type { RecordBody, StoredRecord } from '../contracts/records.js'
 import { formatFinding } from '../base/jsonWithComments.js'
 
@@ -84,7 +84,7 @@
 
   private decide (body: PublishedBody): PublishOutcome {
     if (body.baseRevision !== this.decided) return { kind: 'lostRace', currentRevision: this.decided, wonBy: this.decidedBy }
-    const checked = checkSiteText('published text', body.text)
+    const checked = checkSiteConfiguration('published text', body.text)
     if (checked.kind === 'invalid') return { kind: 'invalid', reason: checked.findings.map(formatFinding).join('; ') }
     this.decided += 1
     this.decidedBy = body.publisher
@@ -95,7 +95,7 @@
   /** Learns a decided revision from a peer that relays it. Returns whether it came into force. */
   learn (revision: number, source: string): boolean {
     if (revision <= (this.current?.revision ?? 0)) return false
-    const checked = checkSiteText('relayed text', source)
+    const checked = checkSiteConfiguration('relayed text', source)
     if (checked.kind === 'invalid') return false
     this.activate({ revision, source, text: checked.configuration })
     return true
--- a/test/contracts/siteConfiguration.test.ts
+++ b/test/contracts/siteConfiguration.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import { formatFinding } from '../../src/base/jsonWithComments.js'
-import { checkSiteText } from '../../src/contracts/siteConfiguration.js'
+import { checkSiteConfiguration } from '../../src/contracts/siteConfiguration.js'
 
 const VALID = {
   site: 'test',
@@ -34,14 +34,14 @@
     it(name, () => {
       const text = structuredClone(VALID) as unknown as Mutable
       change(text)
-      const checked = checkSiteText('text', JSON.stringify(text, undefined, 2))
+      const checked = checkSiteConfiguration('text', JSON.stringify(text, undefined, 2))
       if (expected === undefined) assert.equal(checked.kind, 'valid')
       else assert.match(checked.kind === 'invalid' ? checked.findings.map(formatFinding).join('\n') : '', expected)
     })
   }
 
   it('names the line and column of a syntax error', () => {
-    const checked = checkSiteText('text', '{\n  "site": ,\n}')
+    const checked = checkSiteConfiguration('text', '{\n  "site": ,\n}')
     assert.match(checked.kind === 'invalid' ? checked.findings.map(formatFinding)[0] ?? '' : '', /^text:2:11: /)
   })
 })
--- a/test/entry/callerServer.test.ts
+++ b/test/entry/callerServer.test.ts
@@ -7,7 +7,7 @@
 import { Logger } from '../../src/base/logger.js'
 import { Random } from '../../src/base/random.js'
 import { EventLog } from '../../src/contracts/eventLog.js'
-import { checkSiteText, type SiteConfiguration } from '../../src/contracts/siteConfiguration.js'
+import { checkSiteConfiguration, type SiteConfiguration } from '../../src/contracts/siteConfiguration.js'
 import { CallerServer } from '../../src/entry/callerServer.js'
 import type { ConfigurationTask } from '../../src/entry/configurationTask.js'
 import type { EntryContext } from '../../src/entry/entryContext.js'
@@ -26,7 +26,7 @@
 
 function siteText (): SiteConfiguration {
   const service = { urgency: 'urgent', executorPool: 'pool', deadlineMilliseconds: 1500, maximumRunMilliseconds: 1000 }
-  const checked = checkSiteText('test', JSON.stringify({
+  const checked = checkSiteConfiguration('test', JSON.stringify({
     site: 'test',
     failureDomains: { zone: { region: 'region' } },
     services: { booking: { ...service, idempotent: false }, lookup: { ...service, idempotent: true } },
--- a/test/entry/entryInstance.test.ts
+++ b/test/entry/entryInstance.test.ts
@@ -2,7 +2,7 @@
 import { readFileSync } from 'node:fs'
 import { after, before, describe, it } from 'node:test'
 import { fileURLToPath } from 'node:url'
-import { checkSiteText } from '../../src/contracts/siteConfiguration.js'
+import { checkSiteConfiguration } from '../../src/contracts/siteConfiguration.js'
 import type { EntryInstance } from '../../src/entry/entryInstance.js'
 import { OperatorClient } from '../../src/operator/operatorClient.js'
 import { createEntryInstance, createSiteStandin } from '../../src/programs/wiring.js'
@@ -55,7 +55,7 @@
 
   before(async () => {
     const source = readFileSync(SITE, 'utf8')
-    const checked = checkSiteText('site.jsonc', source)
+    const checked = checkSiteConfiguration('site.jsonc', source)
     assert.ok(checked.kind === 'valid')
     standin = createSiteStandin(checked.configuration, {
       host: '127.0.0.1', port: 0, listLagMilliseconds: 100, retainedRecords: 100_000, appendsPerSecond: 400, appendMilliseconds: 4, serviceMilliseconds: SERVICE_MILLISECONDS, seed: 1, logLevel: 'warn'
--- a/test/entry/jobTask.test.ts
+++ b/test/entry/jobTask.test.ts
@@ -8,7 +8,7 @@
 import { EventLog } from '../../src/contracts/eventLog.js'
 import type { AppendAnswer, ReadAnswer } from '../../src/contracts/platformProtocol.js'
 import type { RecordEnvelope, StoredRecord } from '../../src/contracts/records.js'
-import { checkSiteText } from '../../src/contracts/siteConfiguration.js'
+import { checkSiteConfiguration } from '../../src/contracts/siteConfiguration.js'
 import type { ConfigurationTask } from '../../src/entry/configurationTask.js'
 import type { EntryContext } from '../../src/entry/entryContext.js'
 import { JobTask } from '../../src/entry/jobTask.js'
@@ -63,7 +63,7 @@
     it(name, async () => {
       const timers = install({ now: 0, toFake: ['setTimeout', 'clearTimeout', 'Date', 'performance'] })
       try {
-        const checked = checkSiteText('text', TEXT)
+        const checked = checkSiteConfiguration('text', TEXT)
         assert.equal(checked.kind, 'valid', JSON.stringify(checked))
         const logger = new Logger('entry', 'error', () => {})
         const context = { settings: { failureDomain: 'zone-a' }, events: new EventLog('entry', 'one', new LogicalClock(), () => {}), logger } as unknown as EntryContext
--- a/test/fakes/fakeSite.ts
+++ b/test/fakes/fakeSite.ts
@@ -3,7 +3,7 @@
 import type { JobSubmission } from '../../src/contracts/jobs.js'
 import type { ListedInstance } from '../../src/contracts/platformProtocol.js'
 import { entrySettingsSchema } from '../../src/contracts/settings.js'
-import { checkSiteText, type SiteConfiguration, type Urgency } from '../../src/contracts/siteConfiguration.js'
+import { checkSiteConfiguration, type SiteConfiguration, type Urgency } from '../../src/contracts/siteConfiguration.js'
 import type { Verdict } from '../../src/contracts/verdict.js'
 import type { EntryInstance } from '../../src/entry/entryInstance.js'
 import { RequestBody } from '../../src/entry/requestBody.js'
@@ -316,7 +316,7 @@
       workerPools: { general: { ...WORKER_CAPACITY, workersPerRack: 8, workers: counts(this.workers.values()) } },
       teams: { one: { quota: { processorsThousandths: 4000, memoryBytes: 8_000_000, accelerators: 0 } } }
     })
-    const checked = checkSiteText('fake site text', text)
+    const checked = checkSiteConfiguration('fake site text', text)
     if (checked.kind === 'invalid') throw new Error(JSON.stringify(checked.findings))
     return text
   }
--- a/test/programs/embeddedSite.test.ts
+++ b/test/programs/embeddedSite.test.ts
@@ -4,7 +4,7 @@
 import { setTimeout } from 'node:timers/promises'
 import { fileURLToPath } from 'node:url'
 import type { SystemEvent } from '../../src/contracts/events.js'
-import { checkSiteText } from '../../src/contracts/siteConfiguration.js'
+import { checkSiteConfiguration } from '../../src/contracts/siteConfiguration.js'
 import { scenarioSchema } from '../../src/load/scenario.js'
 import { checkOrder, filterEvents, mergeEvents, parseEvents } from '../../src/operator/timeLine.js'
 import { EmbeddedSite } from '../../src/programs/embeddedSite.js'
@@ -35,7 +35,7 @@
     const source = readFileSync(fileURLToPath(new URL('../../../examples/small/site.jsonc', import.meta.url)), 'utf8')
       .replace(/("deadlineMilliseconds": )\d+/g, `$1${DEADLINE_MILLISECONDS}`)
       .replace(/("maximumRunMilliseconds": )\d+/g, `$1${MAXIMUM_RUN_MILLISECONDS}`)
-    const checked = checkSiteText('site.jsonc', source)
+    const checked = checkSiteConfiguration('site.jsonc', source)
     assert.ok(checked.kind === 'valid')
     const lines: string[] = []
     const site = new EmbeddedSite(checked.configuration, source, line => lines.push(line))
--- a/test/programs/gracefulShutdown.test.ts
+++ b/test/programs/gracefulShutdown.test.ts
@@ -8,7 +8,7 @@
 import { after, describe } from 'node:test'
 import { fileURLToPath } from 'node:url'
 import { delay } from '../../src/base/delay.js'
-import { checkSiteText } from '../../src/contracts/siteConfiguration.js'
+import { checkSiteConfiguration } from '../../src/contracts/siteConfiguration.js'
 import { OperatorClient } from '../../src/operator/operatorClient.js'
 import { createSiteStandin } from '../../src/programs/wiring.js'
 import type { SiteStandin } from '../../src/standins/siteStandin.js'
@@ -31,7 +31,7 @@
 })
 
 async function startStandin (source: string): Promise<SiteStandin> {
-  const checked = checkSiteText('site.jsonc', source)
+  const checked = checkSiteConfiguration('site.jsonc', source)
   assert.ok(checked.kind === 'valid')
   const standin = createSiteStandin(checked.configuration, {
     host: '127.0.0.1', port: 0, listLagMilliseconds: 100, retainedRecords: 100_000, appendsPerSecond: 400, appendMilliseconds: 4, serviceMilliseconds: 20, seed: 1, logLevel: 'warn'
