--- a/src/base/jsonWithComments.ts
+++ b/src/base/jsonWithComments.ts
@@ -15,12 +15,12 @@
 export type KeyPath = ReadonlyArray<string | number>
 
 /** Result of parsing: the value with a way to locate its keys, or what is wrong. */
-export type ParsedText<T> =
+export type ParseResult<T> =
   | { readonly kind: 'valid', readonly value: T, readonly locate: (path: KeyPath, message: string) => Finding }
   | { readonly kind: 'invalid', readonly findings: readonly Finding[] }
 
 /** Parses JSON with comments and checks it against a schema. Does not throw on bad input. */
-export function parseJsonWithComments<T> (file: string, text: string, schema: z.ZodType<T>): ParsedText<T> {
+export function parseJsonWithComments<T> (file: string, text: string, schema: z.ZodType<T>): ParseResult<T> {
   const errors: ParseError[] = []
   const root = parseTree(text, errors, { allowTrailingComma: true })
   if (errors.length > 0 || root === undefined) {
--- a/src/contracts/siteConfiguration.ts
+++ b/src/contracts/siteConfiguration.ts
@@ -1,5 +1,5 @@
 import { z } from 'zod'
-import { parseJsonWithComments, type Finding, type KeyPath, type ParsedText } from '../base/jsonWithComments.js'
+import { parseJsonWithComments, type Finding, type KeyPath, type ParseResult } from '../base/jsonWithComments.js'
 import { addResources, multiplyResources, NO_RESOURCES, resourcesSchema, type Resources } from './resources.js'
 
 /** Urgency classes, most urgent first. */
@@ -75,7 +75,7 @@
 
 /** Parses a site text and checks its references, cycles, urgencies and quotas. Does not throw on bad input. */
 export function checkSiteConfiguration (file: string, source: string): CheckedSiteConfiguration {
-  const parsed: ParsedText<SiteConfiguration> = parseJsonWithComments(file, source, siteConfigurationSchema as z.ZodType<SiteConfiguration>)
+  const parsed: ParseResult<SiteConfiguration> = parseJsonWithComments(file, source, siteConfigurationSchema as z.ZodType<SiteConfiguration>)
   if (parsed.kind === 'invalid') return parsed
   const problems = [...referenceProblems(parsed.value), ...dependencyProblems(parsed.value), ...quotaProblems(parsed.value)]
   if (problems.length === 0) return { kind: 'valid', configuration: parsed.value }
