--- a/src/base/jsonWithComments.ts
+++ b/src/base/jsonWithComments.ts
@@ -16,7 +16,7 @@
 
 /** Result of parsing: the value with a way to locate its keys, or what is wrong. */
 export type ParseResult<T> =
-  | { readonly kind: 'valid', readonly value: T, readonly locate: (path: KeyPath, message: string) => Finding }
+  | { readonly kind: 'valid', readonly value: T, readonly createFinding: (path: KeyPath, message: string) => Finding }
   | { readonly kind: 'invalid', readonly findings: readonly Finding[] }
 
 /** Parses JSON with comments and checks it against a schema. Does not throw on bad input. */
@@ -33,7 +33,7 @@
     return { kind: 'invalid', findings: [locate(duplicate, 'the key is given twice; each key may be given once')] }
   }
   const checked = schema.safeParse(getNodeValue(root))
-  if (checked.success) return { kind: 'valid', value: checked.data, locate }
+  if (checked.success) return { kind: 'valid', value: checked.data, createFinding: locate }
   return { kind: 'invalid', findings: checked.error.issues.flatMap(issue => findingsOf(issue, locate)) }
 }
 
--- a/src/contracts/siteConfiguration.ts
+++ b/src/contracts/siteConfiguration.ts
@@ -79,7 +79,7 @@
   if (parsed.kind === 'invalid') return parsed
   const problems = [...referenceProblems(parsed.value), ...dependencyProblems(parsed.value), ...quotaProblems(parsed.value)]
   if (problems.length === 0) return { kind: 'valid', configuration: parsed.value }
-  return { kind: 'invalid', findings: problems.map(([path, message]) => parsed.locate(path, message)) }
+  return { kind: 'invalid', findings: problems.map(([path, message]) => parsed.createFinding(path, message)) }
 }
 
 /** Capacity of all workers of a site. */
