--- a/src/base/boundedLineWriter.ts
+++ b/src/base/boundedLineWriter.ts
@@ -32,7 +32,7 @@
   }
 
   /** Bytes that wait for the reader. */
-  get bytesWaiting (): number {
+  get queuedBytes (): number {
     return this.waitingBytes
   }
 
--- a/test/base/boundedLineWriter.test.ts
+++ b/test/base/boundedLineWriter.test.ts
@@ -64,7 +64,7 @@
         for (let line = 0; line < 1000; line += 1) writer.writeLine('x'.repeat(200))
         await clock.tickAsync(1000)
       }
-      assert.ok(writer.bytesWaiting <= 512 * 1024, `${writer.bytesWaiting} bytes wait`)
+      assert.ok(writer.queuedBytes <= 512 * 1024, `${writer.queuedBytes} bytes wait`)
     } finally {
       writer.dispose()
       clock.uninstall()
