--- a/src/contracts/platformProtocol.ts
+++ b/src/contracts/platformProtocol.ts
@@ -3,7 +3,7 @@
 
 /** Answer to `POST /streams/{stream}/records`. */
 export const appendAnswerSchema = z.object({ firstOffset: z.number().int(), nextOffset: z.number().int() })
-export type AppendAnswer = z.infer<typeof appendAnswerSchema>
+export type AppendResponse = z.infer<typeof appendAnswerSchema>
 
 /** Body of `POST /streams/{stream}/records`. */
 export const appendBodySchema = z.object({ records: z.array(recordSchema).min(1).max(1000) })
--- a/src/links/platformLog.ts
+++ b/src/links/platformLog.ts
@@ -1,12 +1,12 @@
 import { Agent, request } from 'undici'
 import { describeError } from '../base/logger.js'
-import { appendAnswerSchema, readAnswerSchema, type AppendAnswer, type ReadAnswer } from '../contracts/platformProtocol.js'
+import { appendAnswerSchema, readAnswerSchema, type AppendResponse, type ReadAnswer } from '../contracts/platformProtocol.js'
 import type { RecordEnvelope } from '../contracts/records.js'
 import { isConnectFailure } from './connectFailure.js'
 
 /** The platform's append-only log. Every method rejects when the log is away; an append may have taken effect nevertheless, unless it rejects with `AppendRefusedError`. */
 export abstract class PlatformLog {
-  abstract append (stream: string, records: readonly RecordEnvelope[], signal?: AbortSignal): Promise<AppendAnswer>
+  abstract append (stream: string, records: readonly RecordEnvelope[], signal?: AbortSignal): Promise<AppendResponse>
 
   /** Reads from `from`; waits up to `waitMilliseconds` for a record if there is none. */
   abstract read (stream: string, from: number, limit: number, waitMilliseconds: number, signal?: AbortSignal): Promise<ReadAnswer>
@@ -29,7 +29,7 @@
     super()
   }
 
-  override async append (stream: string, records: readonly RecordEnvelope[], signal?: AbortSignal): Promise<AppendAnswer> {
+  override async append (stream: string, records: readonly RecordEnvelope[], signal?: AbortSignal): Promise<AppendResponse> {
     const body = JSON.stringify({ records })
     const answer = await this.sendAppend(stream, body, signal)
     if (answer.statusCode !== 200) {
--- a/test/entry/jobTask.test.ts
+++ b/test/entry/jobTask.test.ts
@@ -6,7 +6,7 @@
 import { Logger } from '../../src/base/logger.js'
 import { Random } from '../../src/base/random.js'
 import { EventLog } from '../../src/contracts/eventLog.js'
-import type { AppendAnswer, ReadAnswer } from '../../src/contracts/platformProtocol.js'
+import type { AppendResponse, ReadAnswer } from '../../src/contracts/platformProtocol.js'
 import type { RecordEnvelope, StoredRecord } from '../../src/contracts/records.js'
 import { checkSiteConfiguration } from '../../src/contracts/siteConfiguration.js'
 import type { ConfigurationTask } from '../../src/entry/configurationTask.js'
@@ -24,13 +24,13 @@
   attempts = 0
   constructor (private readonly answers: readonly Answer[]) { super() }
 
-  override async append (_stream: string, records: readonly RecordEnvelope[]): Promise<AppendAnswer> {
+  override async append (_stream: string, records: readonly RecordEnvelope[]): Promise<AppendResponse> {
     const answer = this.answers[Math.min(this.attempts, this.answers.length - 1)]
     this.attempts += 1
     if (answer === 'refused') throw new AppendRefusedError('status 503')
     this.records.push(...records)
     if (answer === 'lost') throw new Error('connection reset')
-    if (answer === 'silent') return await new Promise<AppendAnswer>(() => {})
+    if (answer === 'silent') return await new Promise<AppendResponse>(() => {})
     return { firstOffset: 0, nextOffset: 1 }
   }
 
--- a/test/entry/retentionTask.test.ts
+++ b/test/entry/retentionTask.test.ts
@@ -7,7 +7,7 @@
 import { Logger } from '../../src/base/logger.js'
 import { Random } from '../../src/base/random.js'
 import { EventLog } from '../../src/contracts/eventLog.js'
-import type { AppendAnswer, ReadAnswer } from '../../src/contracts/platformProtocol.js'
+import type { AppendResponse, ReadAnswer } from '../../src/contracts/platformProtocol.js'
 import { CONFIGURATION_STREAM, domainStream, RECORD_SCHEMA_VERSION, type RecordBody, type RecordEnvelope } from '../../src/contracts/records.js'
 import { ConfigurationTask } from '../../src/entry/configurationTask.js'
 import type { EntryContext } from '../../src/entry/entryContext.js'
@@ -27,7 +27,7 @@
   private readonly streams = new Map<string, RecordEnvelope[]>()
   private readonly appended = new Emitter<void>()
 
-  override async append (stream: string, records: readonly RecordEnvelope[]): Promise<AppendAnswer> {
+  override async append (stream: string, records: readonly RecordEnvelope[]): Promise<AppendResponse> {
     const kept = this.streams.get(stream) ?? []
     this.streams.set(stream, [...kept, ...records])
     this.appended.fire()
--- a/test/fakes/fakeLog.ts
+++ b/test/fakes/fakeLog.ts
@@ -1,4 +1,4 @@
-import type { AppendAnswer, ReadAnswer } from '../../src/contracts/platformProtocol.js'
+import type { AppendResponse, ReadAnswer } from '../../src/contracts/platformProtocol.js'
 import type { RecordEnvelope } from '../../src/contracts/records.js'
 import { PlatformLog } from '../../src/links/platformLog.js'
 import { PLATFORM, type Network } from './network.js'
@@ -17,7 +17,7 @@
   retainedRecords = Infinity
   private readonly waiting = new Set<() => void>()
 
-  append (stream: string, records: readonly RecordEnvelope[]): AppendAnswer {
+  append (stream: string, records: readonly RecordEnvelope[]): AppendResponse {
     if (this.down) throw new Error('the log is down')
     const all = this.all(stream)
     const firstOffset = all.length
@@ -63,7 +63,7 @@
     super()
   }
 
-  override async append (stream: string, records: readonly RecordEnvelope[], signal?: AbortSignal): Promise<AppendAnswer> {
+  override async append (stream: string, records: readonly RecordEnvelope[], signal?: AbortSignal): Promise<AppendResponse> {
     const loseAnswer = this.log.answersToLose > 0
     if (loseAnswer) this.log.answersToLose -= 1
     return await this.network.call(this.self, PLATFORM, () => this.log.append(stream, records), {
