--- a/src/contracts/platformProtocol.ts
+++ b/src/contracts/platformProtocol.ts
@@ -14,7 +14,7 @@
   nextOffset: z.number().int(),
   records: z.array(z.object({ offset: z.number().int(), record: recordSchema }))
 })
-export type ReadAnswer = z.infer<typeof readAnswerSchema>
+export type ReadResponse = z.infer<typeof readAnswerSchema>
 
 const place = { name: z.string(), failureDomain: z.string(), address: z.string(), state: z.enum(['live', 'leaving']) }
 
--- a/src/links/platformLog.ts
+++ b/src/links/platformLog.ts
@@ -1,6 +1,6 @@
 import { Agent, request } from 'undici'
 import { describeError } from '../base/logger.js'
-import { appendAnswerSchema, readAnswerSchema, type AppendResponse, type ReadAnswer } from '../contracts/platformProtocol.js'
+import { appendAnswerSchema, readAnswerSchema, type AppendResponse, type ReadResponse } from '../contracts/platformProtocol.js'
 import type { RecordEnvelope } from '../contracts/records.js'
 import { isConnectFailure } from './connectFailure.js'
 
@@ -9,7 +9,7 @@
   abstract append (stream: string, records: readonly RecordEnvelope[], signal?: AbortSignal): Promise<AppendResponse>
 
   /** Reads from `from`; waits up to `waitMilliseconds` for a record if there is none. */
-  abstract read (stream: string, from: number, limit: number, waitMilliseconds: number, signal?: AbortSignal): Promise<ReadAnswer>
+  abstract read (stream: string, from: number, limit: number, waitMilliseconds: number, signal?: AbortSignal): Promise<ReadResponse>
 }
 
 /** The log has certainly not taken the records of an append. */
@@ -50,7 +50,7 @@
     }
   }
 
-  override async read (stream: string, from: number, limit: number, waitMilliseconds: number, signal?: AbortSignal): Promise<ReadAnswer> {
+  override async read (stream: string, from: number, limit: number, waitMilliseconds: number, signal?: AbortSignal): Promise<ReadResponse> {
     const query = new URLSearchParams({ from: String(from), limit: String(limit), waitMilliseconds: String(waitMilliseconds) })
     const answer = await request(`${this.address}/streams/${encodeURIComponent(stream)}/records?${query}`, {
       dispatcher: this.agent, signal, headersTimeout: CALL_TIMEOUT_MILLISECONDS + waitMilliseconds, bodyTimeout: CALL_TIMEOUT_MILLISECONDS
--- a/src/standins/platformStandin.ts
+++ b/src/standins/platformStandin.ts
@@ -2,7 +2,7 @@
 import { delay } from '../base/delay.js'
 import { toDisposable } from '../base/disposable.js'
 import { Emitter } from '../base/emitter.js'
-import { appendBodySchema, type ListedInstance, type ReadAnswer } from '../contracts/platformProtocol.js'
+import { appendBodySchema, type ListedInstance, type ReadResponse } from '../contracts/platformProtocol.js'
 import type { RecordEnvelope } from '../contracts/records.js'
 import { brokenAnswer, HttpStandin } from './httpServer.js'
 import type { StandinContext } from './standinContext.js'
@@ -146,7 +146,7 @@
   }
 }
 
-function readFrom (stream: StoredStream, from: number, limit: number): ReadAnswer {
+function readFrom (stream: StoredStream, from: number, limit: number): ReadResponse {
   const start = Math.max(0, from - stream.firstOffset)
   const records = stream.records.slice(start, start + limit).map((record, index) => ({ offset: stream.firstOffset + start + index, record }))
   return { retainedFrom: stream.firstOffset, nextOffset: stream.firstOffset + stream.records.length, records }
--- a/test/entry/jobTask.test.ts
+++ b/test/entry/jobTask.test.ts
@@ -6,7 +6,7 @@
 import { Logger } from '../../src/base/logger.js'
 import { Random } from '../../src/base/random.js'
 import { EventLog } from '../../src/contracts/eventLog.js'
-import type { AppendResponse, ReadAnswer } from '../../src/contracts/platformProtocol.js'
+import type { AppendResponse, ReadResponse } from '../../src/contracts/platformProtocol.js'
 import type { RecordEnvelope, StoredRecord } from '../../src/contracts/records.js'
 import { checkSiteConfiguration } from '../../src/contracts/siteConfiguration.js'
 import type { ConfigurationTask } from '../../src/entry/configurationTask.js'
@@ -34,7 +34,7 @@
     return { firstOffset: 0, nextOffset: 1 }
   }
 
-  override async read (): Promise<ReadAnswer> {
+  override async read (): Promise<ReadResponse> {
     return { retainedFrom: 0, nextOffset: 0, records: [] }
   }
 }
--- a/test/entry/retentionTask.test.ts
+++ b/test/entry/retentionTask.test.ts
@@ -7,7 +7,7 @@
 import { Logger } from '../../src/base/logger.js'
 import { Random } from '../../src/base/random.js'
 import { EventLog } from '../../src/contracts/eventLog.js'
-import type { AppendResponse, ReadAnswer } from '../../src/contracts/platformProtocol.js'
+import type { AppendResponse, ReadResponse } from '../../src/contracts/platformProtocol.js'
 import { CONFIGURATION_STREAM, domainStream, RECORD_SCHEMA_VERSION, type RecordBody, type RecordEnvelope } from '../../src/contracts/records.js'
 import { ConfigurationTask } from '../../src/entry/configurationTask.js'
 import type { EntryContext } from '../../src/entry/entryContext.js'
@@ -34,7 +34,7 @@
     return { firstOffset: kept.length, nextOffset: kept.length + records.length }
   }
 
-  override async read (stream: string, from: number, limit: number, waitMilliseconds: number, signal?: AbortSignal): Promise<ReadAnswer> {
+  override async read (stream: string, from: number, limit: number, waitMilliseconds: number, signal?: AbortSignal): Promise<ReadResponse> {
     if (waitMilliseconds > 0 && (this.streams.get(stream)?.length ?? 0) <= from) {
       await new Promise<void>(resolve => {
         const finish = (): void => {
--- a/test/fakes/fakeLog.ts
+++ b/test/fakes/fakeLog.ts
@@ -1,4 +1,4 @@
-import type { AppendResponse, ReadAnswer } from '../../src/contracts/platformProtocol.js'
+import type { AppendResponse, ReadResponse } from '../../src/contracts/platformProtocol.js'
 import type { RecordEnvelope } from '../../src/contracts/records.js'
 import { PlatformLog } from '../../src/links/platformLog.js'
 import { PLATFORM, type Network } from './network.js'
@@ -26,7 +26,7 @@
     return { firstOffset, nextOffset: all.length }
   }
 
-  read (stream: string, from: number, limit: number): ReadAnswer {
+  read (stream: string, from: number, limit: number): ReadResponse {
     if (this.down) throw new Error('the log is down')
     const all = this.all(stream)
     const retainedFrom = Math.max(0, all.length - this.retainedRecords)
@@ -71,7 +71,7 @@
     })
   }
 
-  override async read (stream: string, from: number, limit: number, waitMilliseconds: number, signal?: AbortSignal): Promise<ReadAnswer> {
+  override async read (stream: string, from: number, limit: number, waitMilliseconds: number, signal?: AbortSignal): Promise<ReadResponse> {
     const until = performance.now() + waitMilliseconds
     return await this.network.call(this.self, PLATFORM, async () => {
       let answer = this.log.read(stream, from, limit)
