--- a/src/contracts/platformProtocol.ts
+++ b/src/contracts/platformProtocol.ts
@@ -2,8 +2,8 @@
 import { recordSchema } from './records.js'
 
 /** Answer to `POST /streams/{stream}/records`. */
-export const appendAnswerSchema = z.object({ firstOffset: z.number().int(), nextOffset: z.number().int() })
-export type AppendResponse = z.infer<typeof appendAnswerSchema>
+export const appendResponseSchema = z.object({ firstOffset: z.number().int(), nextOffset: z.number().int() })
+export type AppendResponse = z.infer<typeof appendResponseSchema>
 
 /** Body of `POST /streams/{stream}/records`. */
 export const appendBodySchema = z.object({ records: z.array(recordSchema).min(1).max(1000) })
--- a/src/links/platformLog.ts
+++ b/src/links/platformLog.ts
@@ -1,6 +1,6 @@
 import { Agent, request } from 'undici'
 import { describeError } from '../base/logger.js'
-import { appendAnswerSchema, readAnswerSchema, type AppendResponse, type ReadResponse } from '../contracts/platformProtocol.js'
+import { appendResponseSchema, readAnswerSchema, type AppendResponse, type ReadResponse } from '../contracts/platformProtocol.js'
 import type { RecordEnvelope } from '../contracts/records.js'
 import { isConnectFailure } from './connectFailure.js'
 
@@ -37,7 +37,7 @@
       const message = `the platform's log answered append with status ${answer.statusCode}`
       throw isRefusal(answer.statusCode) ? new AppendRefusedError(message) : new Error(message)
     }
-    return appendAnswerSchema.parse(await answer.body.json())
+    return appendResponseSchema.parse(await answer.body.json())
   }
 
   private async sendAppend (stream: string, body: string, signal: AbortSignal | undefined): ReturnType<typeof request> {
