--- a/src/contracts/platformProtocol.ts
+++ b/src/contracts/platformProtocol.ts
@@ -9,12 +9,12 @@
 export const appendBodySchema = z.object({ records: z.array(recordSchema).min(1).max(1000) })
 
 /** Answer to `GET /streams/{stream}/records`. `retainedFrom` is the oldest offset still kept. */
-export const readAnswerSchema = z.object({
+export const readResponseSchema = z.object({
   retainedFrom: z.number().int(),
   nextOffset: z.number().int(),
   records: z.array(z.object({ offset: z.number().int(), record: recordSchema }))
 })
-export type ReadResponse = z.infer<typeof readAnswerSchema>
+export type ReadResponse = z.infer<typeof readResponseSchema>
 
 const place = { name: z.string(), failureDomain: z.string(), address: z.string(), state: z.enum(['live', 'leaving']) }
 
--- a/src/links/platformLog.ts
+++ b/src/links/platformLog.ts
@@ -1,6 +1,6 @@
 import { Agent, request } from 'undici'
 import { describeError } from '../base/logger.js'
-import { appendResponseSchema, readAnswerSchema, type AppendResponse, type ReadResponse } from '../contracts/platformProtocol.js'
+import { appendResponseSchema, readResponseSchema, type AppendResponse, type ReadResponse } from '../contracts/platformProtocol.js'
 import type { RecordEnvelope } from '../contracts/records.js'
 import { isConnectFailure } from './connectFailure.js'
 
@@ -55,7 +55,7 @@
     const answer = await request(`${this.address}/streams/${encodeURIComponent(stream)}/records?${query}`, {
       dispatcher: this.agent, signal, headersTimeout: CALL_TIMEOUT_MILLISECONDS + waitMilliseconds, bodyTimeout: CALL_TIMEOUT_MILLISECONDS
     })
-    return readAnswerSchema.parse(await readJson(answer, 'read'))
+    return readResponseSchema.parse(await readJson(answer, 'read'))
   }
 }
 
