--- a/src/contracts/platformProtocol.ts
+++ b/src/contracts/platformProtocol.ts
@@ -27,4 +27,4 @@
 export type ListedInstance = z.infer<typeof listedInstanceSchema>
 
 /** Answer to `GET /instances`. */
-export const instancesAnswerSchema = z.object({ instances: z.array(listedInstanceSchema) })
+export const instancesResponseSchema = z.object({ instances: z.array(listedInstanceSchema) })
--- a/src/links/instanceList.ts
+++ b/src/links/instanceList.ts
@@ -1,5 +1,5 @@
 import { request, type Agent } from 'undici'
-import { instancesAnswerSchema, type ListedInstance } from '../contracts/platformProtocol.js'
+import { instancesResponseSchema, type ListedInstance } from '../contracts/platformProtocol.js'
 
 const CALL_TIMEOUT_MILLISECONDS = 3000
 
@@ -21,6 +21,6 @@
       await answer.body.dump()
       throw new Error(`the instance list answered with status ${answer.statusCode}`)
     }
-    return instancesAnswerSchema.parse(await answer.body.json()).instances
+    return instancesResponseSchema.parse(await answer.body.json()).instances
   }
 }
