--- a/src/contracts/platformProtocol.ts
+++ b/src/contracts/platformProtocol.ts
@@ -6,7 +6,7 @@
 export type AppendResponse = z.infer<typeof appendResponseSchema>
 
 /** Body of `POST /streams/{stream}/records`. */
-export const appendBodySchema = z.object({ records: z.array(recordSchema).min(1).max(1000) })
+export const appendRequestSchema = z.object({ records: z.array(recordSchema).min(1).max(1000) })
 
 /** Answer to `GET /streams/{stream}/records`. `retainedFrom` is the oldest offset still kept. */
 export const readResponseSchema = z.object({
--- a/src/standins/platformStandin.ts
+++ b/src/standins/platformStandin.ts
@@ -2,7 +2,7 @@
 import { delay } from '../base/delay.js'
 import { toDisposable } from '../base/disposable.js'
 import { Emitter } from '../base/emitter.js'
-import { appendBodySchema, type ListedInstance, type ReadResponse } from '../contracts/platformProtocol.js'
+import { appendRequestSchema, type ListedInstance, type ReadResponse } from '../contracts/platformProtocol.js'
 import type { RecordEnvelope } from '../contracts/records.js'
 import { brokenAnswer, HttpStandin } from './httpServer.js'
 import type { StandinContext } from './standinContext.js'
@@ -67,7 +67,7 @@
 
   private async onAppend (event: H3Event): Promise<Response> {
     const stream = this.streamOf(decodeURIComponent(event.context.params?.stream ?? ''))
-    const body = appendBodySchema.safeParse(await event.req.json().catch(() => undefined))
+    const body = appendRequestSchema.safeParse(await event.req.json().catch(() => undefined))
     if (!body.success) return new Response('malformed append', { status: 400 })
     if (this.faults.outage) return unavailable()
     if (!this.takeFromBudget()) return new Response('over the append budget', { status: 429 })
