--- a/src/contracts/workerProtocol.ts
+++ b/src/contracts/workerProtocol.ts
@@ -59,7 +59,7 @@
 export type WorkerReport = z.infer<typeof workerReportSchema>
 
 /** Answer to a command that was carried out. */
-export const commandAnswerSchema = z.object({ logicalTime: z.number().int().nonnegative() })
+export const commandResponseSchema = z.object({ logicalTime: z.number().int().nonnegative() })
 
 /** Body of `POST /tasks/{task}/{action}`. */
 export const taskActionSchema = z.object({ term: z.number().int(), attempt: attemptSchema, throttlePercent: z.number().int().min(0).max(100).optional(), logicalTime: z.number().int().nonnegative() })
--- a/src/links/workerClient.ts
+++ b/src/links/workerClient.ts
@@ -1,6 +1,6 @@
 import { request, type Agent } from 'undici'
 import { isConnectFailure } from './connectFailure.js'
-import { commandAnswerSchema, STALE_TERM, workerReportSchema, type RenewLeases, type StartTask, type TaskAction, type TaskActionName, type WorkerReport } from '../contracts/workerProtocol.js'
+import { commandResponseSchema, STALE_TERM, workerReportSchema, type RenewLeases, type StartTask, type TaskAction, type TaskActionName, type WorkerReport } from '../contracts/workerProtocol.js'
 
 const CALL_TIMEOUT_MILLISECONDS = 2000
 
@@ -46,7 +46,7 @@
     try {
       const answer = await request(url, { method, body: JSON.stringify(body), ...this.options() })
       const text = await answer.body.text()
-      if (answer.statusCode < 300) return { kind: 'done', logicalTime: commandAnswerSchema.safeParse(parseJson(text)).data?.logicalTime }
+      if (answer.statusCode < 300) return { kind: 'done', logicalTime: commandResponseSchema.safeParse(parseJson(text)).data?.logicalTime }
       if (answer.statusCode === 409 && text === STALE_TERM) return { kind: 'stale', reason: text }
       if (answer.statusCode < 500) return { kind: 'refused', reason: text }
       return { kind: 'unknown', reason: `status ${answer.statusCode}` }
