--- a/src/contracts/records.ts
+++ b/src/contracts/records.ts
@@ -8,7 +8,7 @@
 export type DomainStreamKind = 'ownership' | 'jobs' | 'keys'
 
 /** Name of a failure domain's stream. */
-export function domainStream (kind: DomainStreamKind, failureDomain: string): string {
+export function domainStreamName (kind: DomainStreamKind, failureDomain: string): string {
   return `${kind}.${failureDomain}`
 }
 
--- a/src/entry/jobTask.ts
+++ b/src/entry/jobTask.ts
@@ -3,7 +3,7 @@
 import { DisposableObject } from '../base/disposable.js'
 import type { Job, JobSubmission } from '../contracts/jobs.js'
 import type { Resources } from '../contracts/resources.js'
-import { domainStream, type RecordBody } from '../contracts/records.js'
+import { domainStreamName, type RecordBody } from '../contracts/records.js'
 import type { SiteConfiguration } from '../contracts/siteConfiguration.js'
 import type { ServingError } from '../contracts/verdict.js'
 import type { AppendOutcome, LogAppender } from '../links/logAppender.js'
@@ -117,7 +117,7 @@
   }
 
   private async append (failureDomain: string, body: RecordBody, identity: string): Promise<AppendOutcome> {
-    const stream = domainStream('jobs', failureDomain)
+    const stream = domainStreamName('jobs', failureDomain)
     let appender = this.appenders.get(stream)
     if (appender === undefined) {
       appender = this.register(this.createAppender(stream))
--- a/src/entry/keyTask.ts
+++ b/src/entry/keyTask.ts
@@ -3,7 +3,7 @@
 import { z } from 'zod'
 import { delay } from '../base/delay.js'
 import { DisposableObject } from '../base/disposable.js'
-import { domainStream } from '../contracts/records.js'
+import { domainStreamName } from '../contracts/records.js'
 import type { LogAppender } from '../links/logAppender.js'
 import type { LogFollower } from '../links/logFollower.js'
 import { createPeerProof, isValidPeerProof, PEER_PROOF_HEADER } from '../links/peerProof.js'
@@ -170,7 +170,7 @@
   }
 
   private appenderOf (failureDomain: string): LogAppender {
-    const stream = domainStream('keys', failureDomain)
+    const stream = domainStreamName('keys', failureDomain)
     let appender = this.appenders.get(stream)
     if (appender === undefined) {
       appender = this.register(this.createAppender(stream))
--- a/src/programs/wiring.ts
+++ b/src/programs/wiring.ts
@@ -6,7 +6,7 @@
 import { Logger, type LineSink, type LogLevel } from '../base/logger.js'
 import { Random } from '../base/random.js'
 import { EventLog } from '../contracts/eventLog.js'
-import { CONFIGURATION_STREAM, domainStream } from '../contracts/records.js'
+import { CONFIGURATION_STREAM, domainStreamName } from '../contracts/records.js'
 import type { EntrySettings } from '../contracts/settings.js'
 import type { SiteConfiguration } from '../contracts/siteConfiguration.js'
 import { CallerServer } from '../entry/callerServer.js'
@@ -101,13 +101,13 @@
   own(links.onDidReceive(({ message }) => clock.observe(message.logicalTime)))
   const requests = own(new RequestHistory(context.events))
   const configurationFollower = follow(CONFIGURATION_STREAM)
-  const ownershipFollower = follow(domainStream('ownership', settings.failureDomain))
-  const jobFollower = follow(domainStream('jobs', settings.failureDomain))
-  const keyFollower = follow(domainStream('keys', settings.failureDomain))
+  const ownershipFollower = follow(domainStreamName('ownership', settings.failureDomain))
+  const jobFollower = follow(domainStreamName('jobs', settings.failureDomain))
+  const keyFollower = follow(domainStreamName('keys', settings.failureDomain))
 
   const membership = own(new MembershipTask(context, connections.instanceList, links))
   const configuration = own(new ConfigurationTask(context, configurationFollower, links))
-  const ownershipAppender = own(createAppender(domainStream('ownership', settings.failureDomain)))
+  const ownershipAppender = own(createAppender(domainStreamName('ownership', settings.failureDomain)))
   const ownership = own(new OwnershipTask(context, ownershipFollower, ownershipAppender, links, membership.membership))
   const slots = own(new SlotTask(context, ownership, configuration, membership.membership, links, () => frontDoor.demand(), () => frontDoor.hasUrgentWaiting))
   const keys = own(new KeyTask(context, configuration, membership.membership, ownership, keyFollower, createAppender, agent, text => hashing.h64(text)))
--- a/test/entry/retentionTask.test.ts
+++ b/test/entry/retentionTask.test.ts
@@ -8,7 +8,7 @@
 import { Random } from '../../src/base/random.js'
 import { EventLog } from '../../src/contracts/eventLog.js'
 import type { AppendResponse, ReadResponse } from '../../src/contracts/platformProtocol.js'
-import { CONFIGURATION_STREAM, domainStream, RECORD_SCHEMA_VERSION, type RecordBody, type RecordEnvelope } from '../../src/contracts/records.js'
+import { CONFIGURATION_STREAM, domainStreamName, RECORD_SCHEMA_VERSION, type RecordBody, type RecordEnvelope } from '../../src/contracts/records.js'
 import { ConfigurationTask } from '../../src/entry/configurationTask.js'
 import type { EntryContext } from '../../src/entry/entryContext.js'
 import { JobTask } from '../../src/entry/jobTask.js'
@@ -20,7 +20,7 @@
 
 const RETAINED = 40
 const DOMAIN = 'zone-a'
-const JOBS = domainStream('jobs', DOMAIN)
+const JOBS = domainStreamName('jobs', DOMAIN)
 
 /** Streams in memory that keep the last records. A read that waits is answered by the next append. */
 class MemoryLog extends PlatformLog {
