--- a/src/machines/membership.ts
+++ b/src/machines/membership.ts
@@ -6,7 +6,7 @@
 export type ListedWorker = Extract<ListedInstance, { kind: 'worker' }>
 
 /** Silence on links after which a peer is suspected: three heartbeats of 1 s and half a second for scheduling. */
-export const SUSPICION_MILLISECONDS = 3500
+export const SUSPICION_TIMEOUT_MILLISECONDS = 3500
 
 interface Heartbeat {
   readonly incarnation: string
@@ -45,7 +45,7 @@
   /** Whether a peer that was once heard has been silent for longer than the suspicion time. */
   isSuspected (instance: string, now: number): boolean {
     const heartbeat = this.heartbeats.get(instance)
-    return heartbeat !== undefined && now - heartbeat.heardAt > SUSPICION_MILLISECONDS
+    return heartbeat !== undefined && now - heartbeat.heardAt > SUSPICION_TIMEOUT_MILLISECONDS
   }
 
   /** Age of the list in milliseconds; Infinity before the first. */
--- a/test/machines/membership.test.ts
+++ b/test/machines/membership.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import type { ListedInstance } from '../../src/contracts/platformProtocol.js'
-import { Membership, SUSPICION_MILLISECONDS } from '../../src/machines/membership.js'
+import { Membership, SUSPICION_TIMEOUT_MILLISECONDS } from '../../src/machines/membership.js'
 
 const LISTED: ListedInstance = { kind: 'entry', name: 'a', failureDomain: 'zone-a', address: 'ws://a', callerAddress: 'http://a', state: 'live' }
 
@@ -17,7 +17,7 @@
   { name: 'leaving by heartbeat', heard: [{ incarnation: '1', leaving: true, at: 0 }], now: 100, state: 'leaving', suspected: false },
   { name: 'leaving is final for an incarnation', heard: [{ incarnation: '1', leaving: true, at: 0 }, { incarnation: '1', leaving: false, at: 1 }], now: 100, state: 'leaving', suspected: false },
   { name: 'the next incarnation is live', heard: [{ incarnation: '1', leaving: true, at: 0 }, { incarnation: '2', leaving: false, at: 1 }], now: 100, state: 'live', suspected: false },
-  { name: 'silence gives suspicion', heard: [{ incarnation: '1', leaving: false, at: 0 }], now: SUSPICION_MILLISECONDS + 1, state: 'live', suspected: true }
+  { name: 'silence gives suspicion', heard: [{ incarnation: '1', leaving: false, at: 0 }], now: SUSPICION_TIMEOUT_MILLISECONDS + 1, state: 'live', suspected: true }
 ]
 
 describe('Membership', () => {
