--- a/src/entry/membershipTask.ts
+++ b/src/entry/membershipTask.ts
@@ -20,7 +20,7 @@
     this.registerInterval(() => this.refresh(), FETCH_PERIOD_MILLISECONDS)
     this.registerInterval(() => this.sendHeartbeats(), HEARTBEAT_PERIOD_MILLISECONDS)
     this.register(links.onDidReceive(({ from, message }) => {
-      if (message.type === 'heartbeat') this.membership.noteHeartbeat(from.instance, from.incarnation, message.leaving, monotonicNow())
+      if (message.type === 'heartbeat') this.membership.recordHeartbeat(from.instance, from.incarnation, message.leaving, monotonicNow())
     }))
     this.register(links.onDidOpen(peer => this.sendHeartbeat(peer.instance)))
   }
--- a/src/machines/membership.ts
+++ b/src/machines/membership.ts
@@ -35,7 +35,7 @@
   }
 
   /** Notes a heartbeat of a linked instance; `now` is monotonic milliseconds. Leaving is final for an incarnation. */
-  noteHeartbeat (instance: string, incarnation: string, leaving: boolean, now: number): void {
+  recordHeartbeat (instance: string, incarnation: string, leaving: boolean, now: number): void {
     const before = this.heartbeats.get(instance)
     const left = leaving || (before?.incarnation === incarnation && before.leaving)
     this.heartbeats.set(instance, { incarnation, leaving: left, heardAt: now })
--- a/test/machines/membership.test.ts
+++ b/test/machines/membership.test.ts
@@ -25,7 +25,7 @@
     it(name, () => {
       const membership = new Membership()
       membership.update([LISTED], 0)
-      for (const { incarnation, leaving, at } of heard) membership.noteHeartbeat('a', incarnation, leaving, at)
+      for (const { incarnation, leaving, at } of heard) membership.recordHeartbeat('a', incarnation, leaving, at)
       membership.update([LISTED], now)
       assert.deepEqual([membership.find('a')?.state, membership.entries()[0]?.state, membership.isSuspected('a', now)], [state, state, suspected])
     })
