--- a/src/entry/operatorApi.ts
+++ b/src/entry/operatorApi.ts
@@ -49,7 +49,7 @@
   private status (): Response {
     const { instance, failureDomain, region } = this.context.settings
     const utilization = this.placement.current?.utilization()
-    const listAge = this.membership.ageMilliseconds(monotonicNow())
+    const listAge = this.membership.listAgeMilliseconds(monotonicNow())
     return Response.json({
       instance,
       incarnation: this.context.incarnation,
--- a/src/entry/ownershipTask.ts
+++ b/src/entry/ownershipTask.ts
@@ -199,7 +199,7 @@
 
   private isGone (holder: InstanceIdentity, now: number): boolean {
     if (this.links.peers().some(peer => instanceKey(peer) === instanceKey(holder))) return false
-    return this.membership.ageMilliseconds(now) < LIST_FRESHNESS_MILLISECONDS && this.membership.find(holder.instance) === undefined
+    return this.membership.listAgeMilliseconds(now) < LIST_FRESHNESS_MILLISECONDS && this.membership.find(holder.instance) === undefined
   }
 
   private noteOwnerChange (): void {
--- a/src/entry/slotTask.ts
+++ b/src/entry/slotTask.ts
@@ -165,7 +165,7 @@
 
   /** A process has ended if its successor reports or the instance list no longer shows its instance. */
   private noteEndedProcesses (reporter: string, holder: string): void {
-    const listIsFresh = this.membership.ageMilliseconds(monotonicNow()) < LIST_FRESHNESS_MILLISECONDS
+    const listIsFresh = this.membership.listAgeMilliseconds(monotonicNow()) < LIST_FRESHNESS_MILLISECONDS
     const remaining = new Set(this.allocator?.holderKeys())
     for (const [key, instance] of this.instanceOfHolder) {
       const replaced = instance === reporter && key !== holder
--- a/src/machines/membership.ts
+++ b/src/machines/membership.ts
@@ -49,7 +49,7 @@
   }
 
   /** Age of the list in milliseconds; Infinity before the first. */
-  ageMilliseconds (now: number): number {
+  listAgeMilliseconds (now: number): number {
     return now - this.updatedAt
   }
 
