--- a/src/machines/worker.ts
+++ b/src/machines/worker.ts
@@ -106,6 +106,6 @@
 }
 
 /** Whether two descriptions name the same address, place and capacity. */
-export function sameDescription (left: WorkerDescription, right: WorkerDescription): boolean {
+export function equalDescriptions (left: WorkerDescription, right: WorkerDescription): boolean {
   return left.address === right.address && left.rack === right.rack && left.pool === right.pool && equalResources(left.capacity, right.capacity)
 }
--- a/src/scheduling/workerEntry.ts
+++ b/src/scheduling/workerEntry.ts
@@ -1,6 +1,6 @@
 import { NO_RESOURCES } from '../contracts/resources.js'
 import type { Attempt, ReportedTask } from '../contracts/workerProtocol.js'
-import { sameDescription, Worker, type WorkerDescription } from '../machines/worker.js'
+import { equalDescriptions, Worker, type WorkerDescription } from '../machines/worker.js'
 
 /** State of one worker as the owner knows it, besides its resources. Times are monotonic milliseconds of the owner. */
 export class WorkerEntry {
@@ -31,7 +31,7 @@
   /** Applies the entry of the worker in the list of workers. Returns whether anything has changed. */
   applyListing (description: WorkerDescription, leaving: boolean): boolean {
     const { worker } = this
-    if (this.listed && worker.leaving === leaving && sameDescription(worker.description, description)) return false
+    if (this.listed && worker.leaving === leaving && equalDescriptions(worker.description, description)) return false
     this.listed = true
     worker.leaving = leaving
     worker.describe(description)
