--- a/src/machines/worker.ts
+++ b/src/machines/worker.ts
@@ -65,7 +65,7 @@
   }
 
   /** Takes over a changed size or address; what is held stays held. */
-  describe (description: WorkerDescription): void {
+  updateDescription (description: WorkerDescription): void {
     this.description = description
     this.freeResources = subtractResources(description.capacity, this.usedResources)
   }
--- a/src/scheduling/workerEntry.ts
+++ b/src/scheduling/workerEntry.ts
@@ -34,7 +34,7 @@
     if (this.listed && worker.leaving === leaving && equalDescriptions(worker.description, description)) return false
     this.listed = true
     worker.leaving = leaving
-    worker.describe(description)
+    worker.updateDescription(description)
     return true
   }
 
