--- a/src/machines/worker.ts
+++ b/src/machines/worker.ts
@@ -34,7 +34,7 @@
 
 /** Accounting of one worker: the sum of all holds never exceeds its capacity through `hold`. */
 export class Worker {
-  private readonly holds = new Map<string, Hold>()
+  private readonly holdsByTask = new Map<string, Hold>()
   private usedResources = NO_RESOURCES
   private freeResources: Resources
   leaving = false
@@ -57,11 +57,11 @@
   }
 
   get held (): Iterable<Hold> {
-    return this.holds.values()
+    return this.holdsByTask.values()
   }
 
   get heldCount (): number {
-    return this.holds.size
+    return this.holdsByTask.size
   }
 
   /** Takes over a changed size or address; what is held stays held. */
@@ -72,7 +72,7 @@
 
   /** Reserves resources for an attempt. Returns undefined, and changes nothing, if they do not fit or the task is held already. */
   hold (task: string, job: string, attempt: Attempt, resources: Resources, now: number): Hold | undefined {
-    if (this.holds.has(task) || !fitsWithin(resources, this.freeResources)) return undefined
+    if (this.holdsByTask.has(task) || !fitsWithin(resources, this.freeResources)) return undefined
     return this.adopt(task, job, attempt, resources, 'starting', now)
   }
 
@@ -80,21 +80,21 @@
   adopt (task: string, job: string, attempt: Attempt, resources: Resources, state: HoldState, now: number): Hold {
     this.release(task)
     const hold: Hold = { task, job, attempt, resources, state, renewedAt: now, confirmedAt: undefined, uncertainAt: undefined, checkpointFirst: false, released: false }
-    this.holds.set(task, hold)
+    this.holdsByTask.set(task, hold)
     this.setUsed(addResources(this.usedResources, resources))
     return hold
   }
 
   find (task: string): Hold | undefined {
-    return this.holds.get(task)
+    return this.holdsByTask.get(task)
   }
 
   /** Gives back what a task holds. Returns whether it held anything. */
   release (task: string): boolean {
-    const hold = this.holds.get(task)
+    const hold = this.holdsByTask.get(task)
     if (hold === undefined) return false
     hold.released = true
-    this.holds.delete(task)
+    this.holdsByTask.delete(task)
     this.setUsed(subtractResources(this.usedResources, hold.resources))
     return true
   }
