--- a/src/machines/worker.ts
+++ b/src/machines/worker.ts
@@ -56,7 +56,7 @@
     return this.freeResources
   }
 
-  get held (): Iterable<Hold> {
+  get holds (): Iterable<Hold> {
     return this.holdsByTask.values()
   }
 
--- a/src/scheduling/gangReservationPlanner.ts
+++ b/src/scheduling/gangReservationPlanner.ts
@@ -47,7 +47,7 @@
     const tasks: TaskEntry[] = []
     for (const { entry, resources } of reservations) {
       let { free } = entry.worker
-      for (const hold of entry.worker.held) {
+      for (const hold of entry.worker.holds) {
         if (fitsWithin(resources, free)) break
         const task = this.findTask(hold.task)
         if (task === undefined || task.phase !== 'running' || !isBackfillJob(task.job)) continue
@@ -99,7 +99,7 @@
 
   private heldByServices (entry: WorkerEntry): Resources {
     let sum = NO_RESOURCES
-    for (const hold of entry.worker.held) {
+    for (const hold of entry.worker.holds) {
       if (this.findTask(hold.task)?.job.job.kind === 'service') sum = addResources(sum, hold.resources)
     }
     return sum
--- a/src/scheduling/preemptionPlanner.ts
+++ b/src/scheduling/preemptionPlanner.ts
@@ -45,7 +45,7 @@
     const reserved = this.reservations.onWorker(entry).reduce((sum, reservation) => addResources(sum, reservation.resources), NO_RESOURCES)
     let free = subtractResources(entry.worker.free, reserved)
     const candidates: Array<{ task: TaskEntry, cost: number, resources: Resources }> = []
-    for (const hold of entry.worker.held) {
+    for (const hold of entry.worker.holds) {
       const task = this.findTask(hold.task)
       const beingFreed = hold.state === 'stopping' || preempted.has(hold.task)
       if (beingFreed) free = addResources(free, hold.resources)
--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -144,7 +144,7 @@
     return [...this.ledger.workers.values()].map(entry => {
       const silent = now - (entry.reportedAt ?? now) > SILENCE_BEFORE_LAPSE_MILLISECONDS
       const tasks: Array<{ task: string, attempt: Attempt }> = []
-      for (const hold of silent ? [] : entry.worker.held) {
+      for (const hold of silent ? [] : entry.worker.holds) {
         if (hold.state === 'stopping') continue
         hold.renewedAt = now
         tasks.push({ task: hold.task, attempt: hold.attempt })
--- a/src/scheduling/taskLedger.ts
+++ b/src/scheduling/taskLedger.ts
@@ -79,7 +79,7 @@
       if (task.phase === 'finished') this.acknowledgeFinished(task)
     }
     for (const entry of job.holdCount === 0 ? [] : this.workers.values()) {
-      for (const hold of entry.worker.held) {
+      for (const hold of entry.worker.holds) {
         if (hold.job === identity) this.requestStop(entry, hold, 0)
       }
     }
@@ -175,7 +175,7 @@
       listed.set(reported.task, reported.attempt)
       this.onReportedTask(entry, reported, now)
     }
-    for (const hold of [...entry.worker.held]) {
+    for (const hold of [...entry.worker.holds]) {
       if (listed.has(hold.task)) continue
       if (hold.confirmedAt === undefined) this.repeatStart(entry, hold, now, requestedAt)
       else if (hold.confirmedAt < requestedAt) this.releaseLost(entry, hold)
@@ -213,7 +213,7 @@
         for (const [task, reported] of entry.endedOrphans) {
           if (jobOfTask(task) === job) entry.pendingAcknowledgements.set(task, reported.attempt)
         }
-        for (const hold of entry.worker.held) {
+        for (const hold of entry.worker.holds) {
           if (hold.job === job) this.requestStop(entry, hold, now)
         }
       }
@@ -329,7 +329,7 @@
 
   private adoptOrphans (entry: WorkerEntry, job: JobEntry, now: number): void {
     const { identity } = job.job
-    for (const hold of [...entry.worker.held]) {
+    for (const hold of [...entry.worker.holds]) {
       const task = hold.job === identity ? job.tasks[indexOfTask(hold.task)] : undefined
       if (task === undefined) continue
       job.changeHoldCount(task, 1)
--- a/src/scheduling/thermalLimit.ts
+++ b/src/scheduling/thermalLimit.ts
@@ -51,7 +51,7 @@
     const deferrable: TaskEntry[] = []
     for (const { worker, schedulable } of workers) {
       if (schedulable) capacity += worker.description.capacity.processorsThousandths
-      for (const hold of worker.held) {
+      for (const hold of worker.holds) {
         if (hold.state === 'stopping') continue
         const task = this.findTask(hold.task)
         used += hold.resources.processorsThousandths * (task !== undefined && this.throttled.has(task) ? THROTTLE_PERCENT / 100 : 1)
