--- a/src/machines/worker.ts
+++ b/src/machines/worker.ts
@@ -60,7 +60,7 @@
     return this.holdsByTask.values()
   }
 
-  get heldCount (): number {
+  get holdCount (): number {
     return this.holdsByTask.size
   }
 
--- a/src/scheduling/taskLedger.ts
+++ b/src/scheduling/taskLedger.ts
@@ -48,7 +48,7 @@
         entry.listed = false
         this.observer.onWorkerChanged(entry)
       }
-      if (entry.worker.heldCount === 0 && entry.reportedAt !== undefined) this.workers.delete(name)
+      if (entry.worker.holdCount === 0 && entry.reportedAt !== undefined) this.workers.delete(name)
     }
   }
 
--- a/src/scheduling/workerHealth.ts
+++ b/src/scheduling/workerHealth.ts
@@ -40,7 +40,7 @@
   accepts (entry: WorkerEntry, job: JobEntry, now: number): boolean {
     const until = this.health.get(entry)?.quarantinedUntil
     if (until === undefined) return true
-    return now >= until && job.job.urgency === 'deferrable' && job.job.kind === 'batch' && entry.worker.heldCount === 0
+    return now >= until && job.job.urgency === 'deferrable' && job.job.kind === 'batch' && entry.worker.holdCount === 0
   }
 
   /** Returns the end of the worker's quarantine, or undefined if it is not quarantined. A probe may run after it. */
