--- a/src/programs/commandLine.ts
+++ b/src/programs/commandLine.ts
@@ -62,7 +62,7 @@
 }
 
 /** Reads and checks a site text; throws a `UsageError` with every finding. */
-export function readSiteText (file: string): { source: string, text: SiteConfiguration } {
+export function readSiteConfiguration (file: string): { source: string, text: SiteConfiguration } {
   const source = readText(file)
   const checked = checkSiteConfiguration(file, source)
   if (checked.kind === 'valid') return { source, text: checked.configuration }
--- a/src/programs/load.ts
+++ b/src/programs/load.ts
@@ -13,7 +13,7 @@
 import { LoadRunner } from '../load/loadRunner.js'
 import { checkOutcomes } from '../load/outcomeCheck.js'
 import { scenarioSchema } from '../load/scenario.js'
-import { checkOptions, describeFileProblem, EXIT_FAILURE, readSettings, readSiteText, runCommandLine, textOption, UsageError, writeLine, writeText } from './commandLine.js'
+import { checkOptions, describeFileProblem, EXIT_FAILURE, readSettings, readSiteConfiguration, runCommandLine, textOption, UsageError, writeLine, writeText } from './commandLine.js'
 
 const addressOption = z.url({ protocol: /^https?$/, error: 'expected an address such as http://127.0.0.1:7711' })
 const optionsSchema = z.object({
@@ -45,7 +45,7 @@
   .action(async (scenarioFile: string, given: Record<string, unknown>) => {
     const options = checkLoadOptions(given)
     const scenario = readSettings(scenarioFile, scenarioSchema)
-    const { text } = readSiteText(options.text)
+    const { text } = readSiteConfiguration(options.text)
     for (const { service } of scenario.requests) {
       if (!(service in text.services)) throw new UsageError(`${scenarioFile}: the site text ${options.text} has no service '${service}'`)
     }
--- a/src/programs/site.ts
+++ b/src/programs/site.ts
@@ -4,7 +4,7 @@
 import { cac } from 'cac'
 import { z } from 'zod'
 import { EmbeddedSite } from './embeddedSite.js'
-import { checkOptions, describeFileProblem, readSettings, readSiteText, runCommandLine, textOption, UsageError, writeLine } from './commandLine.js'
+import { checkOptions, describeFileProblem, readSettings, readSiteConfiguration, runCommandLine, textOption, UsageError, writeLine } from './commandLine.js'
 import { formatResult } from '../load/loadResult.js'
 import { scenarioSchema } from '../load/scenario.js'
 
@@ -21,7 +21,7 @@
   .option('--events <directory>', 'Directory for the log of all processes', { default: 'run' })
   .action(async (given: Record<string, unknown>) => {
     const options = checkOptions(given, optionsSchema)
-    const { source, text } = readSiteText(options.text)
+    const { source, text } = readSiteConfiguration(options.text)
     const scenario = readSettings(options.scenario, scenarioSchema)
     const file = openLog(options.events)
     let closed = false
--- a/src/programs/standin.ts
+++ b/src/programs/standin.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 import { cac } from 'cac'
 import { standinSettingsSchema } from '../contracts/settings.js'
-import { readSettings, readSiteText, runCommandLine, writeLine } from './commandLine.js'
+import { readSettings, readSiteConfiguration, runCommandLine, writeLine } from './commandLine.js'
 import { createSiteStandin } from './wiring.js'
 
 const program = cac('vanillaturn-standin')
@@ -10,7 +10,7 @@
   .command('<settings>', 'Run stand-ins of platform, workers and executors with a settings file (JSON with comments)')
   .action(async (settingsFile: string) => {
     const settings = readSettings(settingsFile, standinSettingsSchema)
-    const { text } = readSiteText(settings.siteTextFile)
+    const { text } = readSiteConfiguration(settings.siteTextFile)
     const site = createSiteStandin(text, { ...settings, host: settings.platform.host, port: settings.platform.port }, writeLine)
     for (const entry of settings.entries) {
       site.list({ kind: 'entry', name: entry.name, failureDomain: entry.failureDomain, address: entry.linkAddress, callerAddress: entry.callerAddress, state: 'live' })
--- a/src/programs/vanillaturn.ts
+++ b/src/programs/vanillaturn.ts
@@ -6,7 +6,7 @@
 import { explainHistory, formatHistory, parseLog, selectHistory } from '../operator/jobHistory.js'
 import { assessStatus, formatStatus } from '../operator/statusReport.js'
 import { checkOrder, filterEvents, formatTimeLine, mergeEvents, parseEvents, renderTimeLinePage } from '../operator/timeLine.js'
-import { checkOptions, EXIT_FAILURE, readSettings, readSiteText, readText, runCommandLine, textOption, UsageError, wholeNumberOption, writeLine, writeText } from './commandLine.js'
+import { checkOptions, EXIT_FAILURE, readSettings, readSiteConfiguration, readText, runCommandLine, textOption, UsageError, wholeNumberOption, writeLine, writeText } from './commandLine.js'
 import { operatorSettingsSchema } from '../contracts/settings.js'
 
 const DEFAULT_SETTINGS_FILE = 'vanillaturn.jsonc'
@@ -100,7 +100,7 @@
 program.option('--settings <file>', 'Settings of the operators\' tool (JSON with comments)', { default: DEFAULT_SETTINGS_FILE })
 
 program.command('check <file>', 'Check a site text').action((file: string) => {
-  const { text } = readSiteText(file)
+  const { text } = readSiteConfiguration(file)
   writeLine(`${file}: valid; site ${text.site}, ${Object.keys(text.services).length} services, ${Object.keys(text.failureDomains).length} failure domains`)
 })
 
@@ -111,7 +111,7 @@
   .option('--wait <seconds>', 'Longest wait until the revision is in force at every reachable instance', { default: DEFAULT_WAIT_SECONDS })
   .action(async (file: string, given: Record<string, unknown>) => {
     const options = checkOptions(given, commandOptions.publish)
-    const { source } = readSiteText(file)
+    const { source } = readSiteConfiguration(file)
     await withClient(options.settings, async client => {
       const result = await client.publish(source, options.base, options.publisher)
       writeLine(describePublish(result, options.base))
