--- a/src/programs/commandLine.ts
+++ b/src/programs/commandLine.ts
@@ -56,21 +56,21 @@
 
 /** Reads and checks a settings file; throws a `UsageError` that names file, line, column, key and what is expected. */
 export function readSettings<T> (file: string, schema: z.ZodType<T>): T {
-  const parsed = parseJsonWithComments(file, readText(file), schema)
+  const parsed = parseJsonWithComments(file, readTextFile(file), schema)
   if (parsed.kind === 'valid') return parsed.value
   throw new UsageError(parsed.findings.map(formatFinding).join('\n'))
 }
 
 /** Reads and checks a site text; throws a `UsageError` with every finding. */
 export function readSiteConfiguration (file: string): { source: string, text: SiteConfiguration } {
-  const source = readText(file)
+  const source = readTextFile(file)
   const checked = checkSiteConfiguration(file, source)
   if (checked.kind === 'valid') return { source, text: checked.configuration }
   throw new UsageError(checked.findings.map(formatFinding).join('\n'))
 }
 
 /** Reads a file that the user named; throws a `UsageError` if it cannot be read. */
-export function readText (file: string): string {
+export function readTextFile (file: string): string {
   try {
     return readFileSync(file, 'utf8')
   } catch (error) {
--- a/src/programs/vanillaturn.ts
+++ b/src/programs/vanillaturn.ts
@@ -6,7 +6,7 @@
 import { explainHistory, formatHistory, parseLog, selectHistory } from '../operator/jobHistory.js'
 import { assessStatus, formatStatus } from '../operator/statusReport.js'
 import { checkOrder, filterEvents, formatTimeLine, mergeEvents, parseEvents, renderTimeLinePage } from '../operator/timeLine.js'
-import { checkOptions, EXIT_FAILURE, readSettings, readSiteConfiguration, readText, runCommandLine, textOption, UsageError, wholeNumberOption, writeLine, writeText } from './commandLine.js'
+import { checkOptions, EXIT_FAILURE, readSettings, readSiteConfiguration, readTextFile, runCommandLine, textOption, UsageError, wholeNumberOption, writeLine, writeText } from './commandLine.js'
 import { operatorSettingsSchema } from '../contracts/settings.js'
 
 const DEFAULT_SETTINGS_FILE = 'vanillaturn.jsonc'
@@ -89,7 +89,7 @@
 }
 
 function explainFromLogs (job: string, files: readonly string[], showLines: boolean): void {
-  const log = parseLog(files.flatMap(file => readText(file).split('\n')))
+  const log = parseLog(files.flatMap(file => readTextFile(file).split('\n')))
   const explanation = explainHistory(log, job)
   if (explanation === undefined) throw new Error(`no line of the ${log.length} read is about '${job}'`)
   if (showLines) writeLine(formatHistory(selectHistory(log, job)))
@@ -178,7 +178,7 @@
   .action((files: string[], given: Record<string, unknown>) => {
     if (files.length === 0) throw new UsageError('an argument is missing; expected timeline <...files>; see --help')
     const { html, since, until, ...filter } = checkOptions(given, commandOptions.timeline)
-    const all = parseEvents(files.flatMap(file => readText(file).split('\n')))
+    const all = parseEvents(files.flatMap(file => readTextFile(file).split('\n')))
     const events = filterEvents(mergeEvents(all), { ...filter, sinceMilliseconds: since, untilMilliseconds: until })
     if (html !== undefined) writeText(html, renderTimeLinePage(events))
     else if (events.length > 0) writeLine(formatTimeLine(events))
