--- a/src/programs/commandLine.ts
+++ b/src/programs/commandLine.ts
@@ -79,7 +79,7 @@
 }
 
 /** Writes a file that the user named; throws a `UsageError` if it cannot be written. */
-export function writeText (file: string, text: string): void {
+export function writeTextFile (file: string, text: string): void {
   try {
     writeFileSync(file, text)
   } catch (error) {
--- a/src/programs/load.ts
+++ b/src/programs/load.ts
@@ -13,7 +13,7 @@
 import { LoadRunner } from '../load/loadRunner.js'
 import { checkOutcomes } from '../load/outcomeCheck.js'
 import { scenarioSchema } from '../load/scenario.js'
-import { checkOptions, describeFileProblem, EXIT_FAILURE, readSettings, readSiteConfiguration, runCommandLine, textOption, UsageError, writeLine, writeText } from './commandLine.js'
+import { checkOptions, describeFileProblem, EXIT_FAILURE, readSettings, readSiteConfiguration, runCommandLine, textOption, UsageError, writeLine, writeTextFile } from './commandLine.js'
 
 const addressOption = z.url({ protocol: /^https?$/, error: 'expected an address such as http://127.0.0.1:7711' })
 const optionsSchema = z.object({
@@ -63,8 +63,8 @@
     await agent.destroy()
     if (eventsFile !== undefined) closeSync(eventsFile)
     writeLine(formatResult(result))
-    if (options.json !== undefined) writeText(options.json, `${JSON.stringify(result, undefined, 2)}\n`)
-    if (options.plot !== undefined) writeText(options.plot, renderPlotPage(result, `${text.site}: ${scenarioFile}`))
+    if (options.json !== undefined) writeTextFile(options.json, `${JSON.stringify(result, undefined, 2)}\n`)
+    if (options.plot !== undefined) writeTextFile(options.plot, renderPlotPage(result, `${text.site}: ${scenarioFile}`))
     if (options.standin === undefined) return
     if (ledger === undefined) throw new Error(`the stand-in at ${options.standin} does not tell what it ran; the outcome is not checked`)
     const problems = checkOutcomes({ outcomes: runner.outcomes, jobs: result.jobs, ledger, isIdempotent: service => text.services[service]?.idempotent ?? false, withFaults: scenario.faults.length > 0 })
--- a/src/programs/vanillaturn.ts
+++ b/src/programs/vanillaturn.ts
@@ -6,7 +6,7 @@
 import { explainHistory, formatHistory, parseLog, selectHistory } from '../operator/jobHistory.js'
 import { assessStatus, formatStatus } from '../operator/statusReport.js'
 import { checkOrder, filterEvents, formatTimeLine, mergeEvents, parseEvents, renderTimeLinePage } from '../operator/timeLine.js'
-import { checkOptions, EXIT_FAILURE, readSettings, readSiteConfiguration, readTextFile, runCommandLine, textOption, UsageError, wholeNumberOption, writeLine, writeText } from './commandLine.js'
+import { checkOptions, EXIT_FAILURE, readSettings, readSiteConfiguration, readTextFile, runCommandLine, textOption, UsageError, wholeNumberOption, writeLine, writeTextFile } from './commandLine.js'
 import { operatorSettingsSchema } from '../contracts/settings.js'
 
 const DEFAULT_SETTINGS_FILE = 'vanillaturn.jsonc'
@@ -180,7 +180,7 @@
     const { html, since, until, ...filter } = checkOptions(given, commandOptions.timeline)
     const all = parseEvents(files.flatMap(file => readTextFile(file).split('\n')))
     const events = filterEvents(mergeEvents(all), { ...filter, sinceMilliseconds: since, untilMilliseconds: until })
-    if (html !== undefined) writeText(html, renderTimeLinePage(events))
+    if (html !== undefined) writeTextFile(html, renderTimeLinePage(events))
     else if (events.length > 0) writeLine(formatTimeLine(events))
     const faults = checkOrder(all)
     for (const fault of faults) process.stderr.write(`vanillaturn: the order is not causal: ${fault}\n`)
