--- a/src/programs/commandLine.ts
+++ b/src/programs/commandLine.ts
@@ -74,7 +74,7 @@
   try {
     return readFileSync(file, 'utf8')
   } catch (error) {
-    throw new UsageError(`cannot read ${file}: ${describeFileProblem(error)}`)
+    throw new UsageError(`cannot read ${file}: ${describeFileError(error)}`)
   }
 }
 
@@ -83,7 +83,7 @@
   try {
     writeFileSync(file, text)
   } catch (error) {
-    throw new UsageError(`cannot write ${file}: ${describeFileProblem(error)}`)
+    throw new UsageError(`cannot write ${file}: ${describeFileError(error)}`)
   }
 }
 
@@ -93,7 +93,7 @@
 }
 
 /** States a problem with a file, such as `no such file`, in plain words. */
-export function describeFileProblem (error: unknown): string {
+export function describeFileError (error: unknown): string {
   const { code } = error as { code?: string }
   if (code === 'ENOENT') return 'no such file or directory'
   if (code === 'EISDIR') return 'it is a directory'
--- a/src/programs/load.ts
+++ b/src/programs/load.ts
@@ -13,7 +13,7 @@
 import { LoadRunner } from '../load/loadRunner.js'
 import { checkOutcomes } from '../load/outcomeCheck.js'
 import { scenarioSchema } from '../load/scenario.js'
-import { checkOptions, describeFileProblem, EXIT_FAILURE, readSettings, readSiteConfiguration, runCommandLine, textOption, UsageError, writeLine, writeTextFile } from './commandLine.js'
+import { checkOptions, describeFileError, EXIT_FAILURE, readSettings, readSiteConfiguration, runCommandLine, textOption, UsageError, writeLine, writeTextFile } from './commandLine.js'
 
 const addressOption = z.url({ protocol: /^https?$/, error: 'expected an address such as http://127.0.0.1:7711' })
 const optionsSchema = z.object({
@@ -89,7 +89,7 @@
   try {
     return openSync(file, 'w')
   } catch (error) {
-    throw new UsageError(`cannot write ${file}: ${describeFileProblem(error)}`)
+    throw new UsageError(`cannot write ${file}: ${describeFileError(error)}`)
   }
 }
 
--- a/src/programs/site.ts
+++ b/src/programs/site.ts
@@ -4,7 +4,7 @@
 import { cac } from 'cac'
 import { z } from 'zod'
 import { EmbeddedSite } from './embeddedSite.js'
-import { checkOptions, describeFileProblem, readSettings, readSiteConfiguration, runCommandLine, textOption, UsageError, writeLine } from './commandLine.js'
+import { checkOptions, describeFileError, readSettings, readSiteConfiguration, runCommandLine, textOption, UsageError, writeLine } from './commandLine.js'
 import { formatResult } from '../load/loadResult.js'
 import { scenarioSchema } from '../load/scenario.js'
 
@@ -49,7 +49,7 @@
     mkdirSync(directory, { recursive: true })
     return openSync(`${directory}/site.log`, 'w')
   } catch (error) {
-    throw new UsageError(`cannot write ${directory}/site.log: ${describeFileProblem(error)}`)
+    throw new UsageError(`cannot write ${directory}/site.log: ${describeFileError(error)}`)
   }
 }
 
