--- a/src/programs/site.ts
+++ b/src/programs/site.ts
@@ -33,7 +33,7 @@
       const result = await site.run(scenario)
       writeLine(formatResult(result))
       writeLine('processor time and memory are those of the one process that holds every part')
-      const problems = site.check(result, scenario)
+      const problems = site.checkOutcomes(result, scenario)
       for (const problem of problems) writeLine(`problem: ${problem}`)
       writeLine(problems.length === 0 ? 'every accepted request was answered once and every job finished once' : `${problems.length} problems`)
       process.exitCode = problems.length === 0 ? 0 : 1
--- a/test/programs/embeddedSite.test.ts
+++ b/test/programs/embeddedSite.test.ts
@@ -42,7 +42,7 @@
     try {
       await site.start()
       const result = await site.run(SCENARIO)
-      assert.deepEqual(site.check(result, SCENARIO), [])
+      assert.deepEqual(site.checkOutcomes(result, SCENARIO), [])
     } finally {
       await site.stop()
     }
