--- a/src/base/jsonWithComments.ts
+++ b/src/base/jsonWithComments.ts
@@ -14,12 +14,12 @@
 /** A path of object keys and array indexes. */
 export type KeyPath = ReadonlyArray<string | number>
 
-/** Result of parsing: the value with a way to locate its keys, or what is wrong. */
+/** Result of parsing: the value and a function that creates a finding at the position of a key, or all findings. */
 export type ParseResult<T> =
   | { readonly kind: 'valid', readonly value: T, readonly createFinding: (path: KeyPath, message: string) => Finding }
   | { readonly kind: 'invalid', readonly findings: readonly Finding[] }
 
-/** Parses JSON with comments and checks it against a schema. Does not throw on bad input. */
+/** Parses JSON with comments and validates it against a schema. Does not throw on invalid input. */
 export function parseJsonWithComments<T> (file: string, text: string, schema: z.ZodType<T>): ParseResult<T> {
   const errors: ParseError[] = []
   const root = parseTree(text, errors, { allowTrailingComma: true })
@@ -27,22 +27,22 @@
     const findings = errors.map(error => findingAt(file, text, error.offset, '', `${printParseErrorCode(error.error)}; JSON with comments is expected`))
     return { kind: 'invalid', findings: findings.length > 0 ? findings : [findingAt(file, text, 0, '', 'the file is empty; a JSON object is expected')] }
   }
-  const locate = (path: KeyPath, message: string): Finding => findingAt(file, text, offsetOf(root, path), path.join('.'), message)
+  const createFinding = (path: KeyPath, message: string): Finding => findingAt(file, text, offsetOf(root, path), path.join('.'), message)
   const duplicate = findDuplicateKey(root, [])
   if (duplicate !== undefined) {
-    return { kind: 'invalid', findings: [locate(duplicate, 'the key is given twice; each key may be given once')] }
+    return { kind: 'invalid', findings: [createFinding(duplicate, 'the key is given twice; each key may be given once')] }
   }
   const checked = schema.safeParse(getNodeValue(root))
-  if (checked.success) return { kind: 'valid', value: checked.data, createFinding: locate }
-  return { kind: 'invalid', findings: checked.error.issues.flatMap(issue => findingsOf(issue, locate)) }
+  if (checked.success) return { kind: 'valid', value: checked.data, createFinding }
+  return { kind: 'invalid', findings: checked.error.issues.flatMap(issue => toFindings(issue, createFinding)) }
 }
 
-/** Each unknown key is a finding of its own, at its place. */
-function findingsOf (issue: z.core.$ZodIssue, locate: (path: KeyPath, message: string) => Finding): Finding[] {
+/** Converts a schema issue to findings. Each unknown key becomes a separate finding at its position. */
+function toFindings (issue: z.core.$ZodIssue, createFinding: (path: KeyPath, message: string) => Finding): Finding[] {
   const path = issue.path as KeyPath
-  if (issue.code === 'unrecognized_keys') return issue.keys.map(key => locate([...path, key], 'unknown key; remove it or correct its name'))
-  if (issue.code === 'invalid_type' && issue.message.endsWith('received undefined')) return [locate(path, `the key is missing; expected ${issue.expected}`)]
-  return [locate(path, issue.message)]
+  if (issue.code === 'unrecognized_keys') return issue.keys.map(key => createFinding([...path, key], 'unknown key; remove it or correct its name'))
+  if (issue.code === 'invalid_type' && issue.message.endsWith('received undefined')) return [createFinding(path, `the key is missing; expected ${issue.expected}`)]
+  return [createFinding(path, issue.message)]
 }
 
 /** Formats a finding as `file:line:column: key: message`. */
--- a/src/base/logger.ts
+++ b/src/base/logger.ts
@@ -3,7 +3,7 @@
 /** Severity names in the order of loglevel. */
 export type LogLevel = 'trace' | 'debug' | 'info' | 'warn' | 'error'
 
-/** Fields that a log line may carry. Each name has one meaning across all processes. */
+/** Optional fields of a log line. A name has the same meaning in all processes. */
 export interface LogFields {
   readonly failureDomain?: string
   readonly service?: string
@@ -13,7 +13,7 @@
   readonly request?: string
   readonly job?: string
   readonly queue?: string
-  /** Time from acceptance within which a job earns its full benefit, as estimated. */
+  /** Estimated time from acceptance within which a job must finish to meet its latency objective. */
   readonly objectiveMilliseconds?: number
   readonly task?: string
   readonly stream?: string
@@ -27,10 +27,10 @@
   readonly reason?: string
 }
 
-/** Receives finished lines without the line end. */
+/** Receives complete lines without the line terminator. */
 export type LineSink = (line: string) => void
 
-/** Structured log of one process: one JSON object a line. */
+/** Structured log of one process: one JSON object per line. */
 export class Logger {
   private readonly logger: loglevel.Logger
 
@@ -59,7 +59,7 @@
   }
 }
 
-/** Returns the message of an unknown thrown value; its code if the message is empty, as with failed connections to several addresses. */
+/** Returns the message of a thrown value, or its code if the message is empty, as for failed connections to several addresses. */
 export function describeError (error: unknown): string {
   if (!(error instanceof Error)) return String(error)
   return error.message === '' ? String((error as { code?: unknown }).code ?? error.name) : error.message
--- a/src/base/logicalClock.ts
+++ b/src/base/logicalClock.ts
@@ -1,5 +1,5 @@
-/** A greater time would leave the clock no room to count on exactly. */
-const MAXIMUM_RECEIVED = 2 ** 52
+/** Exclusive upper bound of a received time. Integers above 2 ** 53 are not exact, so a greater time could keep the clock from advancing. */
+const RECEIVED_TIME_LIMIT = 2 ** 52
 
 /** Lamport clock: orders events of several processes consistently with causality. */
 export class LogicalClock {
@@ -11,9 +11,9 @@
     return this.time
   }
 
-  /** Takes note of a logical time received in a message. Anything but a whole number that leaves room to count on is ignored. */
+  /** Advances the clock to a logical time received in a message. Values that are not safe integers below the limit are ignored. */
   observe (received: number): void {
-    if (Number.isSafeInteger(received) && received < MAXIMUM_RECEIVED && received > this.time) this.time = received
+    if (Number.isSafeInteger(received) && received < RECEIVED_TIME_LIMIT && received > this.time) this.time = received
   }
 
   get now (): number {
--- a/src/base/task.ts
+++ b/src/base/task.ts
@@ -1,14 +1,14 @@
 import { DisposableObject } from './disposable.js'
 
 /**
- * A task owns its state and handles one message at a time in order of arrival.
- * Other parts reach its state only by posting messages.
+ * An actor: owns its state and handles one message at a time, in order of arrival.
+ * Other components change its state only by posting messages.
  */
 export abstract class Task<Message> extends DisposableObject {
   private readonly mailbox: Message[] = []
   private running = false
 
-  /** Number of messages that wait to be handled. */
+  /** Number of queued messages. */
   get mailboxLength (): number {
     return this.mailbox.length
   }
--- a/src/machines/membership.ts
+++ b/src/machines/membership.ts
@@ -5,18 +5,19 @@
 export type ListedExecutor = Extract<ListedInstance, { kind: 'executor' }>
 export type ListedWorker = Extract<ListedInstance, { kind: 'worker' }>
 
-/** Silence on links after which a peer is suspected: three heartbeats of 1 s and half a second for scheduling. */
+/** Time without a heartbeat after which a peer is suspected to have failed: three heartbeat intervals of 1 s and half a second for scheduling delays. */
 export const SUSPICION_TIMEOUT_MILLISECONDS = 3500
 
 interface Heartbeat {
   readonly incarnation: string
   readonly leaving: boolean
-  readonly heardAt: number
+  readonly receivedAt: number
 }
 
 /**
- * Live and leaving machines by the platform's lagging list, merged with the heartbeats of linked entry instances. The
- * last list stays in use while the platform is away. A heartbeat that announces leaving counts although the list still shows the instance as live.
+ * Live and leaving machines: the platform's instance list, which lags, merged with the heartbeats of linked entry instances.
+ * The last list stays in use while the platform is unavailable. An instance that announces by heartbeat that it is leaving
+ * counts as leaving even while the list shows it as live.
  */
 export class Membership {
   private instances = new Map<string, ListedInstance>()
@@ -34,21 +35,21 @@
     if (changed) this.didChange.fire()
   }
 
-  /** Notes a heartbeat of a linked instance; `now` is monotonic milliseconds. Leaving is final for an incarnation. */
+  /** Records a heartbeat of a linked instance; `now` is monotonic milliseconds. Leaving is final for an incarnation. */
   recordHeartbeat (instance: string, incarnation: string, leaving: boolean, now: number): void {
-    const before = this.heartbeats.get(instance)
-    const left = leaving || (before?.incarnation === incarnation && before.leaving)
-    this.heartbeats.set(instance, { incarnation, leaving: left, heardAt: now })
-    if (left !== (before?.leaving ?? false)) this.didChange.fire()
+    const previous = this.heartbeats.get(instance)
+    const hasLeft = leaving || (previous?.incarnation === incarnation && previous.leaving)
+    this.heartbeats.set(instance, { incarnation, leaving: hasLeft, receivedAt: now })
+    if (hasLeft !== (previous?.leaving ?? false)) this.didChange.fire()
   }
 
-  /** Whether a peer that was once heard has been silent for longer than the suspicion time. */
+  /** Returns whether the latest heartbeat of a peer is older than the suspicion timeout; false before its first heartbeat. */
   isSuspected (instance: string, now: number): boolean {
     const heartbeat = this.heartbeats.get(instance)
-    return heartbeat !== undefined && now - heartbeat.heardAt > SUSPICION_TIMEOUT_MILLISECONDS
+    return heartbeat !== undefined && now - heartbeat.receivedAt > SUSPICION_TIMEOUT_MILLISECONDS
   }
 
-  /** Age of the list in milliseconds; Infinity before the first. */
+  /** Returns the age of the list in milliseconds; Infinity before the first update. */
   listAgeMilliseconds (now: number): number {
     return now - this.updatedAt
   }
--- a/src/machines/worker.ts
+++ b/src/machines/worker.ts
@@ -1,7 +1,7 @@
 import { addResources, equalResources, fitsWithin, NO_RESOURCES, subtractResources, type Resources } from '../contracts/resources.js'
 import type { Attempt } from '../contracts/workerProtocol.js'
 
-/** State of a task's resources on a worker. All of them count against its capacity. */
+/** State of a hold. Holds in every state count against the worker's capacity. */
 export type HoldState = 'starting' | 'running' | 'stopping' | 'unknown'
 
 /** Resources that one attempt of a task holds on a worker. Times are monotonic milliseconds. */
@@ -13,11 +13,11 @@
   state: HoldState
   /** Latest time at which the attempt's lease may have been renewed. */
   renewedAt: number
-  /** Time at which the worker was first known to have the attempt; a report requested later must list it. */
+  /** Time at which the worker first confirmed the attempt; a report requested later must list it. */
   confirmedAt: number | undefined
-  /** Time at which the latest answer to a start was lost. A refusal of a repeated start proves nothing from then on. */
+  /** Time at which the latest response to a start was lost. From then on, a refusal of a repeated start does not prove that the attempt is not running. */
   uncertainAt: number | undefined
-  /** Whether the first command to stop it is a checkpoint. A worker that does not carry it out is told to stop it after that. */
+  /** Whether the attempt is first sent a checkpoint command. It is sent a stop command if the worker does not carry that out. */
   checkpointFirst: boolean
   released: boolean
 }
@@ -32,7 +32,7 @@
   readonly capacity: Resources
 }
 
-/** Accounting of one worker: the sum of all holds never exceeds its capacity through `hold`. */
+/** Resource accounting of one worker. `hold` never lets the sum of all holds exceed the capacity. */
 export class Worker {
   private readonly holdsByTask = new Map<string, Hold>()
   private usedResources = NO_RESOURCES
@@ -51,7 +51,7 @@
     return this.usedResources
   }
 
-  /** What is left; negative where adopted attempts or a smaller capacity exceed it. */
+  /** Free capacity; negative if adopted attempts or a reduced capacity exceed it. */
   get free (): Resources {
     return this.freeResources
   }
@@ -64,19 +64,19 @@
     return this.holdsByTask.size
   }
 
-  /** Takes over a changed size or address; what is held stays held. */
+  /** Replaces the description, such as after a change of capacity or address. The holds stay. */
   updateDescription (description: WorkerDescription): void {
     this.description = description
     this.freeResources = subtractResources(description.capacity, this.usedResources)
   }
 
-  /** Reserves resources for an attempt. Returns undefined, and changes nothing, if they do not fit or the task is held already. */
+  /** Reserves resources for an attempt. Returns undefined, and changes nothing, if they do not fit or the task already has a hold. */
   hold (task: string, job: string, attempt: Attempt, resources: Resources, now: number): Hold | undefined {
     if (this.holdsByTask.has(task) || !fitsWithin(resources, this.freeResources)) return undefined
     return this.adopt(task, job, attempt, resources, 'starting', now)
   }
 
-  /** Counts an attempt that is already on the worker, whether it fits or not. */
+  /** Adds a hold for an attempt that is already on the worker, whether or not it fits. Replaces an earlier hold of the task. */
   adopt (task: string, job: string, attempt: Attempt, resources: Resources, state: HoldState, now: number): Hold {
     this.release(task)
     const hold: Hold = { task, job, attempt, resources, state, renewedAt: now, confirmedAt: undefined, uncertainAt: undefined, checkpointFirst: false, released: false }
@@ -89,7 +89,7 @@
     return this.holdsByTask.get(task)
   }
 
-  /** Gives back what a task holds. Returns whether it held anything. */
+  /** Releases the hold of a task. Returns whether there was one. */
   release (task: string): boolean {
     const hold = this.holdsByTask.get(task)
     if (hold === undefined) return false
@@ -105,7 +105,7 @@
   }
 }
 
-/** Whether two descriptions name the same address, place and capacity. */
+/** Returns whether two descriptions have the same address, rack, pool and capacity. */
 export function equalDescriptions (left: WorkerDescription, right: WorkerDescription): boolean {
   return left.address === right.address && left.rack === right.rack && left.pool === right.pool && equalResources(left.capacity, right.capacity)
 }
--- a/test/base/boundedLineWriter.test.ts
+++ b/test/base/boundedLineWriter.test.ts
@@ -4,7 +4,7 @@
 import { BoundedLineWriter, type WriteBytes } from '../../src/base/boundedLineWriter.js'
 
 describe('BoundedLineWriter', () => {
-  /** A reader that stops, is slow or is gone costs lines and never time; what was left out is counted. */
+  /** Guards against lines lost or reordered by partial or refused writes, and against dropped lines that are not counted. */
   const READERS: ReadonlyArray<{ readonly name: string, readonly write: (output: string[]) => WriteBytes, readonly lines: number, readonly expected: (output: string) => void }> = [
     {
       name: 'writes lines in order',
@@ -13,13 +13,13 @@
       expected: output => assert.equal(output, 'line 0\nline 1\nline 2\n')
     },
     {
-      name: 'goes on after partial writes',
+      name: 'continues after partial writes',
       write: output => (bytes, callback) => { output.push(bytes.subarray(0, 5).toString()); callback(null, Math.min(5, bytes.length)) },
       lines: 3,
       expected: output => assert.equal(output, 'line 0\nline 1\nline 2\n')
     },
     {
-      name: 'counts what exceeds the rate',
+      name: 'counts the lines above the rate limit',
       write: output => (bytes, callback) => { output.push(bytes.toString()); callback(null, bytes.length) },
       lines: 5000,
       expected: output => {
@@ -28,7 +28,7 @@
       }
     },
     {
-      name: 'waits while the reader is busy',
+      name: 'retries while the reader is busy',
       write: output => {
         let refusals = 3
         return (bytes, callback) => {
@@ -56,7 +56,7 @@
     })
   }
 
-  it('holds a bounded amount for a reader that has stopped', async () => {
+  it('queues a bounded number of bytes for a reader that has stopped', async () => {
     const clock = FakeTimers.install()
     const writer = new BoundedLineWriter(() => {}, count => `omitted ${count}`, () => performance.now())
     try {
@@ -64,7 +64,7 @@
         for (let line = 0; line < 1000; line += 1) writer.writeLine('x'.repeat(200))
         await clock.tickAsync(1000)
       }
-      assert.ok(writer.queuedBytes <= 512 * 1024, `${writer.queuedBytes} bytes wait`)
+      assert.ok(writer.queuedBytes <= 512 * 1024, `${writer.queuedBytes} bytes are queued`)
     } finally {
       writer.dispose()
       clock.uninstall()
