--- a/src/contracts/eventLog.ts
+++ b/src/contracts/eventLog.ts
@@ -3,7 +3,7 @@
 import type { LineSink } from '../base/logger.js'
 import type { EventFields, EventKind, SystemEvent } from './events.js'
 
-/** Writes the events of one process for the time line, one JSON object a line. */
+/** Writes the events of one process for the timeline, one JSON object per line. */
 export class EventLog {
   private readonly didRecord = new Emitter<SystemEvent>()
   /** Fires after an event has been written. */
@@ -30,7 +30,7 @@
     this.didRecord.fire(event)
   }
 
-  /** Log of another machine that writes to the same sink and has a clock of its own. */
+  /** Creates the log of another machine, with a separate clock and the same sink. */
   forMachine (name: string): EventLog {
     return new EventLog(name, this.incarnation, new LogicalClock(), this.sink)
   }
--- a/src/contracts/events.ts
+++ b/src/contracts/events.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod'
 
-/** Kinds of events on the time line. `callerAnswered` is recorded by the load tool, `executorStarted`, `executorEnded`, `leaseLapsed` and `faultSwitched` by stand-ins. */
+/** Kinds of events on the timeline. `callerAnswered` is recorded by the load tool, `executorStarted`, `executorEnded`, `leaseLapsed` and `faultSwitched` by stand-ins. */
 export const EVENT_KINDS = [
   'instanceStarted', 'instanceReady', 'instanceStopping', 'instanceStopped',
   'configurationPublished', 'configurationRefused', 'configurationInForce',
@@ -33,7 +33,7 @@
   peer: z.string().optional(),
   term: z.number().optional(),
   revision: z.number().optional(),
-  /** Stable code and verdict of an error, or what else distinguishes the event. */
+  /** Stable code and verdict of an error, or another detail that distinguishes the event. */
   detail: z.string().optional(),
   reason: z.string().optional()
 })
--- a/src/contracts/jobs.ts
+++ b/src/contracts/jobs.ts
@@ -8,7 +8,7 @@
 /** Largest number of tasks of one job. */
 export const MAXIMUM_TASKS_PER_JOB = 10_000
 
-/** What a caller submits. */
+/** A job as a caller submits it. */
 export const jobSubmissionSchema = z.strictObject({
   name: z.string().min(1).max(128),
   team: z.string().min(1).max(63),
@@ -18,7 +18,7 @@
   resources: resourcesSchema,
   /** Family whose observed sizes and run times serve as an estimate for this job; the name if absent. */
   family: z.string().min(1).max(128).optional(),
-  /** Declared run time of one task; may be far off. Services run until cancelled. */
+  /** Declared run time of one task; may be inaccurate. Services run until cancelled. */
   runMilliseconds: z.number().int().positive().optional(),
   /** Whether a task may be stopped at a checkpoint and resumed later. */
   checkpointable: z.boolean().default(false),
@@ -37,6 +37,6 @@
 export const jobOutcomeSchema = z.enum(['finished', 'failed', 'cancelled'])
 export type JobOutcome = z.infer<typeof jobOutcomeSchema>
 
-/** State of a job as a caller reads it. */
+/** State of a job as shown to callers. */
 export const jobStateSchema = z.enum(['waiting', 'starting', 'running', 'finished', 'failed', 'cancelled'])
 export type JobState = z.infer<typeof jobStateSchema>
--- a/src/contracts/records.ts
+++ b/src/contracts/records.ts
@@ -1,13 +1,13 @@
 import { z } from 'zod'
 import { jobOutcomeSchema, jobSchema } from './jobs.js'
 
-/** Stream of the site text. */
+/** Stream of the site configuration. */
 export const CONFIGURATION_STREAM = 'configuration'
 
-/** Kinds of streams that each failure domain has of its own, so that an instance follows only its own failure domain. */
+/** Kinds of streams that exist once per failure domain, so that an instance follows only those of its own failure domain. */
 export type DomainStreamKind = 'ownership' | 'jobs' | 'keys'
 
-/** Name of a failure domain's stream. */
+/** Returns the name of a failure domain's stream. */
 export function domainStreamName (kind: DomainStreamKind, failureDomain: string): string {
   return `${kind}.${failureDomain}`
 }
@@ -17,7 +17,7 @@
 
 const electors = z.array(z.strictObject({ instance: z.string(), incarnation: z.string() }))
 const term = z.number().int().nonnegative()
-const holder = { failureDomain: z.string(), instance: z.string(), incarnation: z.string() }
+const instanceIdentity = { failureDomain: z.string(), instance: z.string(), incarnation: z.string() }
 
 const configurationPublished = z.strictObject({
   type: z.literal('configurationPublished'),
@@ -26,20 +26,20 @@
   publisher: z.string()
 })
 /**
- * Restates the text in force before its record leaves the retention period. `revision` is what the records before
- * `throughOffset` have decided, so that a late starter knows which publish records it still has to decide.
+ * Restates the configuration in force before its record leaves the retention period. `revision` is the latest revision
+ * decided by the records before `throughOffset`, so that an instance that starts later knows which publish records it still has to decide.
  */
 const configurationRestated = z.strictObject({ type: z.literal('configurationRestated'), revision: z.number().int().positive(), text: z.string(), throughOffset: z.number().int().nonnegative() })
-const instanceJoined = z.strictObject({ type: z.literal('instanceJoined'), ...holder })
-/** A claim is valid if it follows the current term and the claimant is an elector, the term was released, or owner and electors are gone. */
-const ownershipClaimed = z.strictObject({ type: z.literal('ownershipClaimed'), ...holder, afterTerm: term, electors, ownerAndElectorsGone: z.boolean() })
-/** `number` counts up within the term. A renewal whose number is not greater than the last has no effect, so that a late one cannot bring back old electors. */
-const ownershipRenewed = z.strictObject({ type: z.literal('ownershipRenewed'), ...holder, term, number: z.number().int().positive(), electors })
-const ownershipReleased = z.strictObject({ type: z.literal('ownershipReleased'), ...holder, term })
+const instanceJoined = z.strictObject({ type: z.literal('instanceJoined'), ...instanceIdentity })
+/** A claim is valid if it follows the current term and the claimant is an elector, the term was released, or the owner and all electors have ended. */
+const ownershipClaimed = z.strictObject({ type: z.literal('ownershipClaimed'), ...instanceIdentity, afterTerm: term, electors, ownerAndElectorsGone: z.boolean() })
+/** `number` increases within the term. A renewal whose number is not greater than the last is ignored, so that a delayed one cannot restore former electors. */
+const ownershipRenewed = z.strictObject({ type: z.literal('ownershipRenewed'), ...instanceIdentity, term, number: z.number().int().positive(), electors })
+const ownershipReleased = z.strictObject({ type: z.literal('ownershipReleased'), ...instanceIdentity, term })
 const jobAccepted = z.strictObject({ type: z.literal('jobAccepted'), job: jobSchema, failureDomain: z.string() })
 const jobCancelRequested = z.strictObject({ type: z.literal('jobCancelRequested'), job: z.string() })
 const jobEnded = z.strictObject({ type: z.literal('jobEnded'), job: z.string(), outcome: jobOutcomeSchema, reason: z.string().optional(), atMilliseconds: z.number() })
-/** Finished tasks of an open job as ranges of task indexes, both ends included. Ranges of several records add up. */
+/** Finished tasks of an open job as inclusive ranges of task indexes. The ranges of several records are combined. */
 const jobProgress = z.strictObject({ type: z.literal('jobProgress'), job: z.string(), finished: z.array(z.tuple([z.number().int().nonnegative(), z.number().int().nonnegative()])) })
 const keyStarted = z.strictObject({ type: z.literal('keyStarted'), key: z.string(), request: z.string(), atMilliseconds: z.number() })
 const keyEnded = z.strictObject({ type: z.literal('keyEnded'), key: z.string(), request: z.string(), status: z.number().int(), body: z.string().optional(), contentType: z.string().optional(), atMilliseconds: z.number() })
@@ -51,7 +51,7 @@
 ])
 export type RecordBody = z.infer<typeof recordBodySchema>
 
-/** Envelope of every record. `identity` makes a repeated append of the same record have effect once. */
+/** Envelope of every record. `identity` identifies repeated appends of the same record, which take effect once. */
 export const recordSchema = z.object({
   identity: z.string().min(1),
   schemaVersion: z.number().int().positive(),
--- a/src/contracts/resources.ts
+++ b/src/contracts/resources.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod'
 
-/** Integer amounts: processors in thousandths of a core, memory in bytes, accelerators whole. */
+/** Integer amounts: processors in thousandths of a core, memory in bytes, accelerators as a count. */
 export const resourcesSchema = z.strictObject({
   processorsThousandths: z.number().int().nonnegative(),
   memoryBytes: z.number().int().nonnegative(),
@@ -26,7 +26,7 @@
   }
 }
 
-/** Multiplies by a whole number. */
+/** Multiplies every dimension by an integer. */
 export function multiplyResources (resources: Resources, factor: number): Resources {
   return {
     processorsThousandths: resources.processorsThousandths * factor,
--- a/src/contracts/siteConfiguration.ts
+++ b/src/contracts/siteConfiguration.ts
@@ -7,7 +7,7 @@
 export const urgencySchema = z.enum(URGENCY_CLASSES)
 export type Urgency = z.infer<typeof urgencySchema>
 
-/** Rank of an urgency class: 0 is the most urgent. */
+/** Returns the rank of an urgency class; 0 is the most urgent. */
 export function urgencyRank (urgency: Urgency): number {
   return URGENCY_CLASSES.indexOf(urgency)
 }
@@ -18,7 +18,7 @@
 
 const failureDomainSchema = z.strictObject({
   region: name,
-  /** Share of the workers' capacity that may be used; lowered when the room runs hot. */
+  /** Percentage of the workers' capacity that may be used; lowered when the server room overheats. */
   allowedCapacityPercent: z.number().int().min(0).max(100).default(100)
 })
 
@@ -26,10 +26,10 @@
   urgency: urgencySchema,
   dependsOn: z.array(name).default([]),
   executorPool: name,
-  /** Whether every request may be run twice without harm. If false, only methods that HTTP defines as idempotent are. */
+  /** Whether every request may safely run twice. If false, only requests with a method that HTTP defines as idempotent may. */
   idempotent: z.boolean(),
   deadlineMilliseconds: milliseconds,
-  /** An executor ends a request that runs for longer than this. */
+  /** Maximum run time of a request, after which the executor ends it. */
   maximumRunMilliseconds: milliseconds
 })
 
@@ -53,7 +53,7 @@
   idempotencyWindowMilliseconds: milliseconds.default(600_000)
 })
 
-/** The one text by which operators drive a site. */
+/** Configuration that operators publish for a site. */
 export const siteConfigurationSchema = z.strictObject({
   site: name,
   failureDomains: z.record(name, failureDomainSchema),
@@ -66,14 +66,14 @@
 export type SiteConfiguration = z.infer<typeof siteConfigurationSchema>
 export type Service = SiteConfiguration['services'][string]
 
-/** Result of checking a site text: the text, or every finding with its place. */
+/** Result of checking a site configuration: the parsed configuration, or all findings. */
 export type CheckedSiteConfiguration =
   | { readonly kind: 'valid', readonly configuration: SiteConfiguration }
   | { readonly kind: 'invalid', readonly findings: readonly Finding[] }
 
 type Problem = readonly [path: KeyPath, message: string]
 
-/** Parses a site text and checks its references, cycles, urgencies and quotas. Does not throw on bad input. */
+/** Parses a site configuration and checks its references, cycles, urgencies and quotas. Does not throw on invalid input. */
 export function checkSiteConfiguration (file: string, source: string): CheckedSiteConfiguration {
   const parsed: ParseResult<SiteConfiguration> = parseJsonWithComments(file, source, siteConfigurationSchema as z.ZodType<SiteConfiguration>)
   if (parsed.kind === 'invalid') return parsed
@@ -82,44 +82,44 @@
   return { kind: 'invalid', findings: problems.map(([path, message]) => parsed.createFinding(path, message)) }
 }
 
-/** Capacity of all workers of a site. */
-export function siteCapacity (text: SiteConfiguration): Resources {
+/** Returns the total capacity of all workers of a site. */
+export function siteCapacity (configuration: SiteConfiguration): Resources {
   let total = NO_RESOURCES
-  for (const pool of Object.values(text.workerPools)) {
+  for (const pool of Object.values(configuration.workerPools)) {
     const workers = Object.values(pool.workers).reduce((sum, count) => sum + count, 0)
     total = addResources(total, multiplyResources(pool, workers))
   }
   return total
 }
 
-function referenceProblems (text: SiteConfiguration): Problem[] {
+function referenceProblems (configuration: SiteConfiguration): Problem[] {
   const problems: Problem[] = []
-  if (Object.keys(text.failureDomains).length === 0) problems.push([['failureDomains'], 'at least one failure domain is expected'])
-  for (const [serviceName, service] of Object.entries(text.services)) {
-    if (!(service.executorPool in text.executorPools)) {
-      problems.push([['services', serviceName, 'executorPool'], `unknown executor pool '${service.executorPool}'; expected one of ${listNames(text.executorPools)}`])
+  if (Object.keys(configuration.failureDomains).length === 0) problems.push([['failureDomains'], 'at least one failure domain is expected'])
+  for (const [serviceName, service] of Object.entries(configuration.services)) {
+    if (!(service.executorPool in configuration.executorPools)) {
+      problems.push([['services', serviceName, 'executorPool'], `unknown executor pool '${service.executorPool}'; expected one of ${listNames(configuration.executorPools)}`])
     }
     for (const [index, dependency] of service.dependsOn.entries()) {
-      if (!(dependency in text.services)) problems.push([['services', serviceName, 'dependsOn', index], `unknown service '${dependency}'; expected one of ${listNames(text.services)}`])
+      if (!(dependency in configuration.services)) problems.push([['services', serviceName, 'dependsOn', index], `unknown service '${dependency}'; expected one of ${listNames(configuration.services)}`])
     }
   }
-  for (const [kind, pools] of [['executorPools', text.executorPools], ['workerPools', text.workerPools]] as const) {
+  for (const [kind, pools] of [['executorPools', configuration.executorPools], ['workerPools', configuration.workerPools]] as const) {
     for (const [poolName, pool] of Object.entries(pools)) {
-      const placed = 'executors' in pool ? pool.executors : pool.workers
+      const countsByDomain = 'executors' in pool ? pool.executors : pool.workers
       const key = 'executors' in pool ? 'executors' : 'workers'
-      for (const domain of Object.keys(placed)) {
-        if (!(domain in text.failureDomains)) problems.push([[kind, poolName, key, domain], `unknown failure domain '${domain}'; expected one of ${listNames(text.failureDomains)}`])
+      for (const domain of Object.keys(countsByDomain)) {
+        if (!(domain in configuration.failureDomains)) problems.push([[kind, poolName, key, domain], `unknown failure domain '${domain}'; expected one of ${listNames(configuration.failureDomains)}`])
       }
     }
   }
   return problems
 }
 
-function dependencyProblems (text: SiteConfiguration): Problem[] {
+function dependencyProblems (configuration: SiteConfiguration): Problem[] {
   const problems: Problem[] = []
   const finished = new Set<string>()
   const visit = (serviceName: string, path: readonly string[]): void => {
-    const service = text.services[serviceName]
+    const service = configuration.services[serviceName]
     if (service === undefined || finished.has(serviceName)) return
     for (const [index, dependency] of service.dependsOn.entries()) {
       const key = ['services', serviceName, 'dependsOn', index]
@@ -128,7 +128,7 @@
         problems.push([key, `dependency cycle: ${cycle.join(' -> ')}`])
         continue
       }
-      const required = text.services[dependency]
+      const required = configuration.services[dependency]
       if (service.urgency === 'urgent' && required?.urgency === 'deferrable') {
         problems.push([key, `urgent service '${serviceName}' depends on deferrable service '${dependency}'; expected a dependency that is urgent or normal`])
       }
@@ -136,14 +136,14 @@
     }
     finished.add(serviceName)
   }
-  for (const serviceName of Object.keys(text.services)) visit(serviceName, [])
+  for (const serviceName of Object.keys(configuration.services)) visit(serviceName, [])
   return problems
 }
 
-function quotaProblems (text: SiteConfiguration): Problem[] {
-  const capacity = siteCapacity(text)
+function quotaProblems (configuration: SiteConfiguration): Problem[] {
+  const capacity = siteCapacity(configuration)
   const problems: Problem[] = []
-  for (const [teamName, team] of Object.entries(text.teams)) {
+  for (const [teamName, team] of Object.entries(configuration.teams)) {
     for (const dimension of ['processorsThousandths', 'memoryBytes', 'accelerators'] as const) {
       if (team.quota[dimension] <= capacity[dimension]) continue
       problems.push([['teams', teamName, 'quota', dimension], `quota ${team.quota[dimension]} is above the site's capacity of ${capacity[dimension]}`])
--- a/src/contracts/verdict.ts
+++ b/src/contracts/verdict.ts
@@ -6,7 +6,7 @@
 
 const detail = { message: z.string(), retryAfterSeconds: z.number().int().nonnegative().optional() }
 
-/** Body of every error answer to a caller. `code` is stable; `verdict` says whether the request may have run. */
+/** Body of every error response to a caller. `code` is stable; `verdict` states whether the request may have run. */
 export const servingErrorSchema = z.discriminatedUnion('code', [
   z.object({ code: z.literal('malformedRequest'), verdict: z.literal('notRun'), ...detail }),
   z.object({ code: z.literal('bodyTooLarge'), verdict: z.literal('notRun'), ...detail }),
@@ -26,7 +26,7 @@
   z.object({ code: z.literal('cancelled'), verdict: verdictSchema, ...detail }),
   z.object({ code: z.literal('executorFailed'), verdict: z.literal('mayHaveRun'), ...detail }),
   z.object({ code: z.literal('executorTimeout'), verdict: z.literal('mayHaveRun'), ...detail }),
-  /** `job` names the job whose acceptance is unknown; submitted again with the same idempotency key it is the same job. */
+  /** `job` identifies the job whose acceptance is unknown. A retry with the same idempotency key submits the same job. */
   z.object({ code: z.literal('outcomeUnknown'), verdict: z.literal('mayHaveRun'), job: z.string().optional(), ...detail }),
   z.object({ code: z.literal('alreadyRan'), verdict: z.literal('ran'), ...detail })
 ])
@@ -56,7 +56,7 @@
   alreadyRan: 409
 }
 
-/** HTTP status that carries an error of this code. */
+/** Returns the HTTP status of an error response. */
 export function httpStatusOf (error: ServingError): number {
   return HTTP_STATUS[error.code]
 }
--- a/src/contracts/workerProtocol.ts
+++ b/src/contracts/workerProtocol.ts
@@ -5,14 +5,14 @@
 export const attemptSchema = z.strictObject({ term: z.number().int(), sequence: z.number().int() })
 export type Attempt = z.infer<typeof attemptSchema>
 
-/** Body of the 409 answer to a command with a lower term than the highest that the worker has seen. */
+/** Body of the 409 response to a command whose term is lower than the highest that the worker has seen. */
 export const STALE_TERM = 'stale term'
 
 /** State of a task on a worker. */
 export const taskStateSchema = z.enum(['running', 'finished', 'failed', 'stopped', 'checkpointed', 'leaseLapsed'])
 export type TaskState = z.infer<typeof taskStateSchema>
 
-/** Body of `PUT /tasks/{task}`: starts an attempt; repeated with the same attempt it has no further effect. */
+/** Body of `PUT /tasks/{task}`, which starts an attempt and is idempotent for the same attempt. */
 export const startTaskSchema = z.object({
   term: z.number().int(),
   attempt: attemptSchema,
@@ -29,7 +29,7 @@
 })
 export type StartTask = z.infer<typeof startTaskSchema>
 
-/** A task as a worker reports it. Usage lags. */
+/** A task as a worker reports it. `usage` lags. */
 export const reportedTaskSchema = z.object({
   task: z.string(),
   attempt: attemptSchema,
@@ -38,27 +38,27 @@
   state: taskStateSchema,
   resources: resourcesSchema,
   usage: resourcesSchema,
-  /** Run time kept by the last checkpoint, in milliseconds. */
+  /** Run time saved by the last checkpoint, in milliseconds. */
   checkpointMilliseconds: z.number().nonnegative()
 })
 export type ReportedTask = z.infer<typeof reportedTaskSchema>
 
-/** Body of `POST /leases`: renews the leases of the named attempts and takes note of the owner's term. */
+/** Body of `POST /leases`, which renews the leases of the listed attempts and announces the owner's term. */
 export const renewLeasesSchema = z.object({
   term: z.number().int(),
   leaseMilliseconds: z.number().int().positive(),
   tasks: z.array(z.object({ task: z.string(), attempt: attemptSchema })),
-  /** Ended attempts whose report has arrived; the worker forgets them. */
+  /** Ended attempts whose report the owner has received; the worker deletes them. */
   acknowledged: z.array(z.object({ task: z.string(), attempt: attemptSchema })),
   logicalTime: z.number().int().nonnegative()
 })
 export type RenewLeases = z.infer<typeof renewLeasesSchema>
 
-/** Answer to `POST /leases` and `GET /tasks`. */
+/** Response to `POST /leases` and `GET /tasks`. */
 export const workerReportSchema = z.object({ worker: z.string(), incarnation: z.string(), term: z.number().int(), tasks: z.array(reportedTaskSchema), logicalTime: z.number().int() })
 export type WorkerReport = z.infer<typeof workerReportSchema>
 
-/** Answer to a command that was carried out. */
+/** Response to a command that was carried out. */
 export const commandResponseSchema = z.object({ logicalTime: z.number().int().nonnegative() })
 
 /** Body of `POST /tasks/{task}/{action}`. */
--- a/test/contracts/siteConfiguration.test.ts
+++ b/test/contracts/siteConfiguration.test.ts
@@ -17,30 +17,30 @@
 
 type Mutable = Record<string, Record<string, Record<string, unknown>>>
 
-/** Each case guards against a faulty text being accepted, or reported without its place. */
-const CASES: ReadonlyArray<{ readonly name: string, readonly change: (text: Mutable) => void, readonly expected: RegExp | undefined }> = [
-  { name: 'a valid text', change: () => {}, expected: undefined },
-  { name: 'an unknown key', change: text => { text.services!.order!.colour = 1 }, expected: /^text:18:7: services\.order\.colour: unknown key/ },
-  { name: 'an unknown dependency', change: text => { text.services!.order!.dependsOn = ['missing'] }, expected: /services\.order\.dependsOn\.0: unknown service 'missing'/ },
-  { name: 'an unknown executor pool', change: text => { text.services!.order!.executorPool = 'missing' }, expected: /unknown executor pool 'missing'; expected one of 'pool'/ },
-  { name: 'an unknown failure domain', change: text => { text.workerPools!.general!.workers = { 'zone-b': 1 } }, expected: /unknown failure domain 'zone-b'/ },
-  { name: 'a dependency cycle', change: text => { text.services!.lookup!.dependsOn = ['order'] }, expected: /dependency cycle: order -> lookup -> order/ },
-  { name: 'an urgent service on a deferrable one', change: text => { text.services!.lookup!.urgency = 'deferrable' }, expected: /urgent service 'order' depends on deferrable service 'lookup'/ },
-  { name: 'a quota above the capacity', change: text => { text.teams!.one!.quota = { processorsThousandths: 32001, memoryBytes: 1 } }, expected: /quota 32001 is above the site's capacity of 32000/ }
+/** Each case guards against an invalid configuration that is accepted, or reported without its position. */
+const CASES: ReadonlyArray<{ readonly name: string, readonly change: (configuration: Mutable) => void, readonly expected: RegExp | undefined }> = [
+  { name: 'a valid configuration', change: () => {}, expected: undefined },
+  { name: 'an unknown key', change: configuration => { configuration.services!.order!.colour = 1 }, expected: /^text:18:7: services\.order\.colour: unknown key/ },
+  { name: 'an unknown dependency', change: configuration => { configuration.services!.order!.dependsOn = ['missing'] }, expected: /services\.order\.dependsOn\.0: unknown service 'missing'/ },
+  { name: 'an unknown executor pool', change: configuration => { configuration.services!.order!.executorPool = 'missing' }, expected: /unknown executor pool 'missing'; expected one of 'pool'/ },
+  { name: 'an unknown failure domain', change: configuration => { configuration.workerPools!.general!.workers = { 'zone-b': 1 } }, expected: /unknown failure domain 'zone-b'/ },
+  { name: 'a dependency cycle', change: configuration => { configuration.services!.lookup!.dependsOn = ['order'] }, expected: /dependency cycle: order -> lookup -> order/ },
+  { name: 'an urgent service on a deferrable one', change: configuration => { configuration.services!.lookup!.urgency = 'deferrable' }, expected: /urgent service 'order' depends on deferrable service 'lookup'/ },
+  { name: 'a quota above the capacity', change: configuration => { configuration.teams!.one!.quota = { processorsThousandths: 32001, memoryBytes: 1 } }, expected: /quota 32001 is above the site's capacity of 32000/ }
 ]
 
-describe('checkSiteText', () => {
+describe('checkSiteConfiguration', () => {
   for (const { name, change, expected } of CASES) {
     it(name, () => {
-      const text = structuredClone(VALID) as unknown as Mutable
-      change(text)
-      const checked = checkSiteConfiguration('text', JSON.stringify(text, undefined, 2))
+      const configuration = structuredClone(VALID) as unknown as Mutable
+      change(configuration)
+      const checked = checkSiteConfiguration('text', JSON.stringify(configuration, undefined, 2))
       if (expected === undefined) assert.equal(checked.kind, 'valid')
       else assert.match(checked.kind === 'invalid' ? checked.findings.map(formatFinding).join('\n') : '', expected)
     })
   }
 
-  it('names the line and column of a syntax error', () => {
+  it('reports the line and column of a syntax error', () => {
     const checked = checkSiteConfiguration('text', '{\n  "site": ,\n}')
     assert.match(checked.kind === 'invalid' ? checked.findings.map(formatFinding)[0] ?? '' : '', /^text:2:11: /)
   })
