--- a/src/programs/commandLine.ts
+++ b/src/programs/commandLine.ts
@@ -8,24 +8,24 @@
 /** Version that every binary prints. */
 export const VERSION = '0.1.0'
 
-/** Exit status of a wrong command line, settings file or site text. */
+/** Exit status for an invalid command line, settings file or site configuration. */
 export const EXIT_USAGE = 2
 
-/** Exit status of a command that was understood and did not succeed. */
+/** Exit status of a valid command that failed. */
 export const EXIT_FAILURE = 1
 
-/** A problem that is reported to the user in one line for each finding, without a stack trace. */
+/** An error that is reported to the user in one line per finding, without a stack trace. */
 export class UsageError extends Error {}
 
-/** An option that is given at most once and has a text as its value. */
+/** Option with a non-empty string value that is given at most once. */
 export const textOption = z.string('expected one value').min(1, 'expected a value that is not empty')
 
-/** An option whose value is a whole number of at least 0. `expected` says what the number is. */
+/** Option whose value is an integer of at least 0. `expected` describes the value in error messages. */
 export function wholeNumberOption (expected: string) {
   return z.string(`expected ${expected}, a whole number`).regex(/^\d{1,15}$/, `expected ${expected}, a whole number`).transform(Number)
 }
 
-/** Parses and runs a command line; reports a problem on the error output and sets the exit status. */
+/** Parses and runs a command line; reports an error on standard error and sets the exit status. */
 export async function runCommandLine (program: CAC): Promise<void> {
   try {
     program.help()
@@ -38,34 +38,34 @@
     }
     await program.runMatchedCommand()
   } catch (error) {
-    const usage = error instanceof UsageError || (error as Error).name === 'CACError'
-    const message = usage ? describeUsage(describeError(error)) : describeSystemError(error)
+    const isUsageError = error instanceof UsageError || (error as Error).name === 'CACError'
+    const message = isUsageError ? describeUsage(describeError(error)) : describeSystemError(error)
     for (const line of message.split('\n')) process.stderr.write(`${program.name}: ${line}\n`)
-    process.exitCode = usage ? EXIT_USAGE : EXIT_FAILURE
+    process.exitCode = isUsageError ? EXIT_USAGE : EXIT_FAILURE
   }
 }
 
-/** Checks the options of a command; throws a `UsageError` that names each wrong option. */
+/** Validates the options of a command; throws a `UsageError` that names each invalid option. */
 export function checkOptions<T> (options: Readonly<Record<string, unknown>>, schema: z.ZodType<T>): T {
   const { '--': _, ...given } = options
-  const texts = Object.fromEntries(Object.entries(given).map(([name, value]) => [name, typeof value === 'number' ? rawValue(name, value) : value]))
-  const checked = schema.safeParse(texts)
+  const rawOptions = Object.fromEntries(Object.entries(given).map(([name, value]) => [name, typeof value === 'number' ? rawValue(name, value) : value]))
+  const checked = schema.safeParse(rawOptions)
   if (checked.success) return checked.data
-  throw new UsageError(checked.error.issues.map(issue => `--${toDashes(String(issue.path[0]))}: ${issue.message}`).join('\n'))
+  throw new UsageError(checked.error.issues.map(issue => `--${toKebabCase(String(issue.path[0]))}: ${issue.message}`).join('\n'))
 }
 
-/** Reads and checks a settings file; throws a `UsageError` that names file, line, column, key and what is expected. */
+/** Reads and validates a settings file; throws a `UsageError` with file, line, column, key and the expected value. */
 export function readSettings<T> (file: string, schema: z.ZodType<T>): T {
   const parsed = parseJsonWithComments(file, readTextFile(file), schema)
   if (parsed.kind === 'valid') return parsed.value
   throw new UsageError(parsed.findings.map(formatFinding).join('\n'))
 }
 
-/** Reads and checks a site text; throws a `UsageError` with every finding. */
-export function readSiteConfiguration (file: string): { source: string, text: SiteConfiguration } {
+/** Reads and checks a site configuration; throws a `UsageError` with all findings. */
+export function readSiteConfiguration (file: string): { source: string, configuration: SiteConfiguration } {
   const source = readTextFile(file)
   const checked = checkSiteConfiguration(file, source)
-  if (checked.kind === 'valid') return { source, text: checked.configuration }
+  if (checked.kind === 'valid') return { source, configuration: checked.configuration }
   throw new UsageError(checked.findings.map(formatFinding).join('\n'))
 }
 
@@ -87,12 +87,12 @@
   }
 }
 
-/** Writes a line to the standard output. */
+/** Writes a line to standard output. */
 export function writeLine (line: string): void {
   process.stdout.write(`${line}\n`)
 }
 
-/** States a problem with a file, such as `no such file`, in plain words. */
+/** Describes a file system error for the user, such as `permission denied`. */
 export function describeFileError (error: unknown): string {
   const { code } = error as { code?: string }
   if (code === 'ENOENT') return 'no such file or directory'
@@ -101,9 +101,9 @@
   return describeError(error)
 }
 
-/** The option parser turns values that look like numbers into numbers; this returns the text that was given. */
+/** Returns the value of an option as given on the command line; the option parser converts values that look like numbers. */
 function rawValue (name: string, value: number): string {
-  const flag = `--${toDashes(name)}`
+  const flag = `--${toKebabCase(name)}`
   const { argv } = process
   const joined = argv.findLast(argument => argument.startsWith(`${flag}=`))
   if (joined !== undefined) return joined.slice(flag.length + 1)
@@ -111,11 +111,11 @@
   return index < 0 ? String(value) : argv[index + 1] ?? String(value)
 }
 
-function toDashes (name: string): string {
+function toKebabCase (name: string): string {
   return name.replace(/[A-Z]/g, letter => `-${letter.toLowerCase()}`)
 }
 
-/** Rewords the messages of the option parser. */
+/** Replaces the messages of the option parser by messages in the format of this program. */
 function describeUsage (message: string): string {
   const unknown = /^Unknown option `(.+)`$/.exec(message)?.[1]
   if (unknown !== undefined) return `unknown option ${unknown}; see --help`
--- a/src/programs/entry.ts
+++ b/src/programs/entry.ts
@@ -11,12 +11,12 @@
   .action(async (settingsFile: string) => {
     const settings = readSettings(settingsFile, entrySettingsSchema)
     const instance = createEntryInstance(settings, writeLine)
-    let stops = 0
+    let signalCount = 0
     const onSignal = async (): Promise<void> => {
-      stops += 1
-      if (stops > 1) process.exit(1)
-      const cutOff = await instance.stop()
-      process.exit(cutOff === 0 ? 0 : 1)
+      signalCount += 1
+      if (signalCount > 1) process.exit(1)
+      const interruptedRequests = await instance.stop()
+      process.exit(interruptedRequests === 0 ? 0 : 1)
     }
     process.on('SIGTERM', onSignal)
     process.on('SIGINT', onSignal)
--- a/src/programs/load.ts
+++ b/src/programs/load.ts
@@ -36,27 +36,27 @@
   .option('--settings <file>', 'Settings of the operators\' tool, for addresses and token')
   .option('--entry <address>', 'Address of an entry instance for callers; may be given several times')
   .option('--token <token>', 'Operator token, to read control cost and packing')
-  .option('--standin <address>', 'Address of the stand-in, to switch faults and to check the outcome against what it ran')
-  .option('--text <file>', 'Site text, to report by urgency class')
+  .option('--standin <address>', 'Address of the stand-in, to inject faults and to check the outcomes against what it ran')
+  .option('--text <file>', 'Site configuration, to report by urgency class')
   .option('--json <file>', 'Write the result as JSON')
   .option('--plot <file>', 'Write a self-contained page with plots')
-  .option('--run <name>', 'Name that sets the idempotency keys of this run apart; random if not stated, so that every run gets new keys')
-  .option('--events <file>', 'Write the events of the callers for the time line')
+  .option('--run <name>', 'Name that makes the idempotency keys of this run unique; random if absent, so that every run gets new keys')
+  .option('--events <file>', 'Write the events of the callers for the timeline')
   .action(async (scenarioFile: string, given: Record<string, unknown>) => {
     const options = checkLoadOptions(given)
     const scenario = readSettings(scenarioFile, scenarioSchema)
-    const { text } = readSiteConfiguration(options.text)
+    const { configuration } = readSiteConfiguration(options.text)
     for (const { service } of scenario.requests) {
-      if (!(service in text.services)) throw new UsageError(`${scenarioFile}: the site text ${options.text} has no service '${service}'`)
+      if (!(service in configuration.services)) throw new UsageError(`${scenarioFile}: the site configuration ${options.text} has no service '${service}'`)
     }
-    if (scenario.faults.length > 0 && options.standin === undefined) throw new UsageError('--standin: expected the address of the stand-in, as the scenario switches faults')
-    const target = targetOf(options)
+    if (scenario.faults.length > 0 && options.standin === undefined) throw new UsageError('--standin: expected the address of the stand-in, because the scenario injects faults')
+    const target = resolveTarget(options)
     const eventsFile = options.events === undefined ? undefined : openForWriting(options.events)
     const events = eventsFile === undefined ? undefined : new EventLog('load', randomUUID(), new LogicalClock(), line => writeSync(eventsFile, `${line}\n`))
     const agent = new Agent({ connections: 256 })
     const bar = process.stderr.isTTY ? new SingleBar({ format: '{bar} {percentage}%', stream: process.stderr }) : undefined
     bar?.start(100, 0)
-    const runner = new LoadRunner(scenario, { ...target, standinAddress: options.standin, runIdentity: options.run ?? randomUUID(), urgencyOf: service => text.services[service]?.urgency ?? 'normal' }, agent, events, fraction => bar?.update(Math.round(fraction * 100)))
+    const runner = new LoadRunner(scenario, { ...target, standinAddress: options.standin, runIdentity: options.run ?? randomUUID(), urgencyOf: service => configuration.services[service]?.urgency ?? 'normal' }, agent, events, fraction => bar?.update(Math.round(fraction * 100)))
     const result = await runner.run()
     bar?.stop()
     const ledger = await runner.readLedger()
@@ -64,12 +64,12 @@
     if (eventsFile !== undefined) closeSync(eventsFile)
     writeLine(formatResult(result))
     if (options.json !== undefined) writeTextFile(options.json, `${JSON.stringify(result, undefined, 2)}\n`)
-    if (options.plot !== undefined) writeTextFile(options.plot, renderPlotPage(result, `${text.site}: ${scenarioFile}`))
+    if (options.plot !== undefined) writeTextFile(options.plot, renderPlotPage(result, `${configuration.site}: ${scenarioFile}`))
     if (options.standin === undefined) return
-    if (ledger === undefined) throw new Error(`the stand-in at ${options.standin} does not tell what it ran; the outcome is not checked`)
-    const problems = checkOutcomes({ outcomes: runner.outcomes, jobs: result.jobs, ledger, isIdempotent: service => text.services[service]?.idempotent ?? false, withFaults: scenario.faults.length > 0 })
+    if (ledger === undefined) throw new Error(`the stand-in at ${options.standin} did not report what it ran; the outcomes are not checked`)
+    const problems = checkOutcomes({ outcomes: runner.outcomes, jobs: result.jobs, ledger, isIdempotent: service => configuration.services[service]?.idempotent ?? false, withFaults: scenario.faults.length > 0 })
     for (const problem of problems) writeLine(`problem: ${problem}`)
-    writeLine(problems.length === 0 ? 'what callers were told agrees with what ran' : `${problems.length} problems`)
+    writeLine(problems.length === 0 ? 'the responses to callers agree with what ran' : `${problems.length} problems`)
     if (problems.length > 0) process.exitCode = EXIT_FAILURE
   })
 
@@ -79,7 +79,7 @@
   return options
 }
 
-function targetOf (options: LoadOptions): { callerAddresses: readonly string[], operatorToken: string } {
+function resolveTarget (options: LoadOptions): { callerAddresses: readonly string[], operatorToken: string } {
   const settings = options.settings === undefined ? undefined : readSettings(options.settings, operatorSettingsSchema)
   const callerAddresses = (options.entry.length > 0 ? options.entry : settings?.entryAddresses ?? []).map(address => address.replace(/\/$/, ''))
   return { callerAddresses, operatorToken: options.token ?? settings?.operatorToken ?? '' }
--- a/src/programs/site.ts
+++ b/src/programs/site.ts
@@ -15,24 +15,24 @@
 const program = cac('vanillaturn-site')
 
 program
-  .command('', 'Run a whole small site in one process: stand-ins, entry instances, load, and a check of the outcome')
-  .option('--text <file>', 'Site text', { default: fileURLToPath(new URL('small/site.jsonc', EXAMPLES)) })
+  .command('', 'Run a small site in one process with stand-ins, entry instances and load, and check the outcomes')
+  .option('--text <file>', 'Site configuration', { default: fileURLToPath(new URL('small/site.jsonc', EXAMPLES)) })
   .option('--scenario <file>', 'Load scenario', { default: fileURLToPath(new URL('small/scenario.jsonc', EXAMPLES)) })
   .option('--events <directory>', 'Directory for the log of all processes', { default: 'run' })
   .action(async (given: Record<string, unknown>) => {
     const options = checkOptions(given, optionsSchema)
-    const { source, text } = readSiteConfiguration(options.text)
+    const { source, configuration } = readSiteConfiguration(options.text)
     const scenario = readSettings(options.scenario, scenarioSchema)
     const file = openLog(options.events)
     let closed = false
-    const site = new EmbeddedSite(text, source, line => { if (!closed) writeSync(file, `${line}\n`) })
+    const site = new EmbeddedSite(configuration, source, line => { if (!closed) writeSync(file, `${line}\n`) })
     try {
-      writeLine(`site ${text.site}: starting stand-ins and entry instances; log in ${options.events}/site.log`)
+      writeLine(`site ${configuration.site}: starting stand-ins and entry instances; log in ${options.events}/site.log`)
       await site.start()
       writeLine('configuration in force everywhere; running the load')
       const result = await site.run(scenario)
       writeLine(formatResult(result))
-      writeLine('processor time and memory are those of the one process that holds every part')
+      writeLine('processor time and memory are those of the single process that runs all parts of the site')
       const problems = site.checkOutcomes(result, scenario)
       for (const problem of problems) writeLine(`problem: ${problem}`)
       writeLine(problems.length === 0 ? 'every accepted request was answered once and every job finished once' : `${problems.length} problems`)
--- a/src/programs/standin.ts
+++ b/src/programs/standin.ts
@@ -10,8 +10,8 @@
   .command('<settings>', 'Run stand-ins of platform, workers and executors with a settings file (JSON with comments)')
   .action(async (settingsFile: string) => {
     const settings = readSettings(settingsFile, standinSettingsSchema)
-    const { text } = readSiteConfiguration(settings.siteTextFile)
-    const site = createSiteStandin(text, { ...settings, host: settings.platform.host, port: settings.platform.port }, writeLine)
+    const { configuration } = readSiteConfiguration(settings.siteTextFile)
+    const site = createSiteStandin(configuration, { ...settings, host: settings.platform.host, port: settings.platform.port }, writeLine)
     for (const entry of settings.entries) {
       site.list({ kind: 'entry', name: entry.name, failureDomain: entry.failureDomain, address: entry.linkAddress, callerAddress: entry.callerAddress, state: 'live' })
     }
--- a/src/programs/vanillaturn.ts
+++ b/src/programs/vanillaturn.ts
@@ -27,7 +27,7 @@
     wait: wholeNumberOption('a number of seconds').refine(seconds => seconds <= MAXIMUM_WAIT_SECONDS, `expected at most ${MAXIMUM_WAIT_SECONDS} seconds`)
   }),
   show: z.object({ ...settingsOption, revision: wholeNumberOption('a revision').optional() }),
-  plain: z.object(settingsOption),
+  status: z.object(settingsOption),
   explain: z.object({ ...settingsOption, lines: z.boolean().optional() }),
   timeline: z.object({
     job: textOption.optional(),
@@ -51,17 +51,17 @@
   }
 }
 
-function describePublish (result: PublishResult, base: number): string {
+function describePublishResult (result: PublishResult, base: number): string {
   switch (result.kind) {
     case 'accepted':
       return `published as revision ${result.revision}`
     case 'lostRace':
-      if (base > result.currentRevision) return `not published: the text was made from revision ${base}, and the log has decided only ${result.currentRevision}`
-      return `not published: revision ${result.currentRevision} by ${result.wonBy} has won, and the text was made from revision ${base}; see 'show --revision ${result.currentRevision}', merge and publish with --base ${result.currentRevision}`
+      if (base > result.currentRevision) return `not published: the base revision ${base} does not exist; the latest revision is ${result.currentRevision}`
+      return `not published: revision ${result.currentRevision} by ${result.wonBy} was published first, and the base revision is ${base}; see 'show --revision ${result.currentRevision}', merge and publish with --base ${result.currentRevision}`
     case 'invalid':
       return `not published: ${result.reason}`
     case 'undecided':
-      return 'not decided: the log no longer keeps the revision that the text was made from'
+      return 'not decided: the log no longer retains the base revision'
     case 'notSent':
       return `not published: ${result.reason}`
     case 'unknown':
@@ -69,13 +69,13 @@
   }
 }
 
-/** Picks the answers that say most: of a request every one, of a job that of the owner. */
+/** Selects the explanations to print: those of all instances for a request, and that of the owner, if it responded, for a job. */
 function chooseExplanations (answers: readonly InstanceAnswer[]): string[] {
-  const known = answers.filter(answer => answer.status === 200).map(answer => answer.body ?? {})
-  const requests = known.filter(body => body.subjectKind === 'request')
+  const found = answers.filter(answer => answer.status === 200).map(answer => answer.body ?? {})
+  const requests = found.filter(body => body.subjectKind === 'request')
   if (requests.length > 0) return requests.map(body => `${body.instance}: ${body.explanation}`)
-  const best = known.find(body => body.owner !== undefined && body.owner === body.instance) ?? known.find(body => body.owner === undefined) ?? known[0]
-  return best === undefined ? [] : [String(best.explanation)]
+  const selected = found.find(body => body.owner !== undefined && body.owner === body.instance) ?? found.find(body => body.owner === undefined) ?? found[0]
+  return selected === undefined ? [] : [String(selected.explanation)]
 }
 
 async function explainFromInstances (client: OperatorClient, subject: string): Promise<void> {
@@ -83,9 +83,9 @@
   const explanations = chooseExplanations(answers)
   for (const line of explanations) writeLine(line)
   if (explanations.length > 0) return
-  const silent = answers.filter(answer => answer.status !== 404)
-  const unanswered = silent.map(answer => `\n${answer.address}: ${answer.reason ?? (answer.status === 401 ? 'the operator token is refused' : `status ${answer.status}`)}`)
-  throw new Error(`no entry instance that answered knows '${subject}'${unanswered.join('')}`)
+  const failed = answers.filter(answer => answer.status !== 404)
+  const failures = failed.map(answer => `\n${answer.address}: ${answer.reason ?? (answer.status === 401 ? 'the operator token is refused' : `status ${answer.status}`)}`)
+  throw new Error(`no entry instance that answered knows '${subject}'${failures.join('')}`)
 }
 
 function explainFromLogs (job: string, files: readonly string[], showLines: boolean): void {
@@ -99,42 +99,42 @@
 const program = cac('vanillaturn')
 program.option('--settings <file>', 'Settings of the operators\' tool (JSON with comments)', { default: DEFAULT_SETTINGS_FILE })
 
-program.command('check <file>', 'Check a site text').action((file: string) => {
-  const { text } = readSiteConfiguration(file)
-  writeLine(`${file}: valid; site ${text.site}, ${Object.keys(text.services).length} services, ${Object.keys(text.failureDomains).length} failure domains`)
+program.command('check <file>', 'Check a site configuration').action((file: string) => {
+  const { configuration } = readSiteConfiguration(file)
+  writeLine(`${file}: valid; site ${configuration.site}, ${Object.keys(configuration.services).length} services, ${Object.keys(configuration.failureDomains).length} failure domains`)
 })
 
 program
-  .command('publish <file>', 'Publish a site text made from a base revision')
-  .option('--base <revision>', 'Revision that the text was made from')
+  .command('publish <file>', 'Publish a site configuration based on an earlier revision')
+  .option('--base <revision>', 'Revision that the configuration is based on')
   .option('--publisher <name>', 'Name recorded with the publish', { default: 'operator' })
-  .option('--wait <seconds>', 'Longest wait until the revision is in force at every reachable instance', { default: DEFAULT_WAIT_SECONDS })
+  .option('--wait <seconds>', 'Maximum time to wait until the revision is in force at every reachable instance', { default: DEFAULT_WAIT_SECONDS })
   .action(async (file: string, given: Record<string, unknown>) => {
     const options = checkOptions(given, commandOptions.publish)
     const { source } = readSiteConfiguration(file)
     await withClient(options.settings, async client => {
       const result = await client.publish(source, options.base, options.publisher)
-      writeLine(describePublish(result, options.base))
+      writeLine(describePublishResult(result, options.base))
       if (result.kind !== 'accepted') {
         process.exitCode = EXIT_FAILURE
         return
       }
       if (options.wait === 0) return
       const answers = await client.waitInForce(result.revision, options.wait * 1000)
-      const reached = answers.flatMap(answer => answer.status ?? [])
-      const behind = reached.filter(status => status.revision < result.revision)
+      const reachable = answers.flatMap(answer => answer.status ?? [])
+      const outdated = reachable.filter(status => status.revision < result.revision)
       for (const { address, status, reason } of answers) {
         if (status === undefined) writeLine(`${address}: ${reason}`)
       }
-      for (const status of behind) writeLine(`${status.instance}: still has revision ${status.revision}`)
-      writeLine(`in force at ${reached.length - behind.length} of ${answers.length} instances`)
-      if (behind.length > 0 || reached.length === 0) process.exitCode = EXIT_FAILURE
+      for (const status of outdated) writeLine(`${status.instance}: still has revision ${status.revision}`)
+      writeLine(`in force at ${reachable.length - outdated.length} of ${answers.length} instances`)
+      if (outdated.length > 0 || reachable.length === 0) process.exitCode = EXIT_FAILURE
     })
   })
 
 program
-  .command('show', 'Show the site text that the log has decided')
-  .option('--revision <revision>', 'Show this revision instead of the newest')
+  .command('show', 'Show the published site configuration')
+  .option('--revision <revision>', 'Show this revision instead of the latest')
   .action(async (given: Record<string, unknown>) => {
     const options = checkOptions(given, commandOptions.show)
     await withClient(options.settings, async client => {
@@ -145,8 +145,8 @@
     })
   })
 
-program.command('status', 'Show the state of every entry instance; exits with 0 if all is well').action(async (given: Record<string, unknown>) => {
-  const options = checkOptions(given, commandOptions.plain)
+program.command('status', 'Show the state of every entry instance; exits with 0 if there are no problems').action(async (given: Record<string, unknown>) => {
+  const options = checkOptions(given, commandOptions.status)
   await withClient(options.settings, async client => {
     const [answers, decided] = await Promise.all([client.readStatus(), client.readConfiguration().catch(() => undefined)])
     const site = assessStatus(answers, decided?.revision)
@@ -156,9 +156,9 @@
 })
 
 program
-  .command('explain <subject> [...files]', 'Say what happened to a job or request, and why it waits or was refused; given the logs of all instances, of a job on a platform')
+  .command('explain <subject> [...files]', 'Explain what happened to a job or request, and why it waits or was refused; given the logs of all instances, explains a job on a platform from them')
   .example('vanillaturn explain 7d866a70a320b8d2 instance-*.log')
-  .option('--lines', 'Show the lines of the logs, too')
+  .option('--lines', 'Also show the log lines of the job')
   .action(async (subject: string, files: string[], given: Record<string, unknown>) => {
     const options = checkOptions(given, commandOptions.explain)
     if (files.length > 0) explainFromLogs(subject, files, options.lines === true)
@@ -182,9 +182,9 @@
     const events = filterEvents(mergeEvents(all), { ...filter, sinceMilliseconds: since, untilMilliseconds: until })
     if (html !== undefined) writeTextFile(html, renderTimeLinePage(events))
     else if (events.length > 0) writeLine(formatTimeLine(events))
-    const faults = checkOrder(all)
-    for (const fault of faults) process.stderr.write(`vanillaturn: the order is not causal: ${fault}\n`)
-    if (faults.length > 0) process.exitCode = EXIT_FAILURE
+    const violations = checkOrder(all)
+    for (const violation of violations) process.stderr.write(`vanillaturn: the order is not causal: ${violation}\n`)
+    if (violations.length > 0) process.exitCode = EXIT_FAILURE
   })
 
 await runCommandLine(program)
--- a/src/programs/wiring.ts
+++ b/src/programs/wiring.ts
@@ -39,7 +39,7 @@
 
 const hashing = await createHashing()
 const SEED_BOUND = 2 ** 31 - 1
-/** Connections to one address that the instance keeps for the platform, workers and peers. */
+/** Maximum number of connections to one address of the platform, a worker or a peer. */
 const AGENT_CONNECTIONS = 16
 
 /** Connections of an entry instance to everything outside it. Tests pass fakes. */
@@ -54,7 +54,7 @@
   readonly agent: Agent
 }
 
-/** Wires an entry instance from its settings. Lines of the log and of the time line go to `sink`. */
+/** Creates an entry instance from its settings. Log lines and timeline events are written to `sink`. */
 export function createEntryInstance (settings: EntrySettings, sink: LineSink): EntryInstance {
   const context = createEntryContext(settings, sink, randomUUID(), randomInt(SEED_BOUND))
   const agent = new Agent({ connections: AGENT_CONNECTIONS, pipelining: 1 })
@@ -77,7 +77,7 @@
   return { settings, incarnation, logger, events, random: new Random(seed) }
 }
 
-/** Wires an entry instance from its connections, which it owns from then on. */
+/** Assembles an entry instance from its connections, and takes ownership of them. */
 export function assembleEntryInstance (context: EntryContext, connections: EntryConnections): EntryInstance {
   const { settings, logger, random } = context
   const { clock } = context.events
@@ -97,7 +97,7 @@
     return appender
   }
   const links = own(connections.links)
-  // Registered before any other listener, so that everything a message causes gets a later logical time.
+  // Registered before any other listener, so that every event caused by a message gets a later logical time.
   own(links.onDidReceive(({ message }) => clock.observe(message.logicalTime)))
   const requests = own(new RequestHistory(context.events))
   const configurationFollower = follow(CONFIGURATION_STREAM)
@@ -109,19 +109,19 @@
   const configuration = own(new ConfigurationTask(context, configurationFollower, links))
   const ownershipAppender = own(createAppender(domainStreamName('ownership', settings.failureDomain)))
   const ownership = own(new OwnershipTask(context, ownershipFollower, ownershipAppender, links, membership.membership))
-  const slots = own(new SlotTask(context, ownership, configuration, membership.membership, links, () => frontDoor.demand(), () => frontDoor.hasUrgentWaiting))
+  const slots = own(new SlotTask(context, ownership, configuration, membership.membership, links, () => requestDispatcher.demand(), () => requestDispatcher.hasUrgentWaiting))
   const keys = own(new KeyTask(context, configuration, membership.membership, ownership, keyFollower, createAppender, agent, text => hashing.h64(text)))
   const forwarder = new Forwarder(context, membership.membership, own(connections.peers))
   const executorClient = own(connections.executors)
-  const frontDoor: RequestDispatcher = own(new RequestDispatcher(context, configuration, membership.membership, slots.holder, executorClient, new LeastExpectedTimeChooser(), slots, new KeyGate(keys), forwarder))
-  own(slots.onDidChangeGrants(() => frontDoor.dispatchAll()))
+  const requestDispatcher: RequestDispatcher = own(new RequestDispatcher(context, configuration, membership.membership, slots.holder, executorClient, new LeastExpectedTimeChooser(), slots, new KeyGate(keys), forwarder))
+  own(slots.onDidChangeGrants(() => requestDispatcher.dispatchAll()))
   const jobs = own(new JobTask(context, configuration, jobFollower, createAppender))
   own(new RetentionTask(context, ownership, configuration, jobs, configurationFollower, jobFollower, createAppender))
   const placement = own(new PlacementTask(context, ownership, configuration, membership.membership, jobs, connections.workers))
 
   const followers = [configurationFollower, ownershipFollower, jobFollower, keyFollower]
   const metrics = new MetricsRegistry()
-  metrics.addGauge('active_requests', 'Requests accepted and not yet answered to their end', () => frontDoor.activeRequests)
+  metrics.addGauge('active_requests', 'Requests accepted and not yet answered to their end', () => requestDispatcher.activeRequests)
   metrics.addGauge('open_jobs', 'Jobs of the failure domain that have not ended', () => jobs.book.openJobs().length)
   metrics.addGauge('configuration_revision', 'Revision of the site text in force', () => configuration.inForce?.revision ?? 0)
   metrics.addGauge('link_bytes', 'Bytes sent and received on links', () => links.bytesExchanged)
@@ -129,16 +129,16 @@
   metrics.addGauge('resident_bytes', 'Resident memory of the process', () => process.memoryUsage.rss())
   metrics.addGauge('log_appends', 'Appends sent to the platform\'s log', () => appenders.reduce((sum, appender) => sum + appender.appendsSent, 0))
   metrics.addGauge('malformed_frames', 'Malformed frames received on links', () => links.malformedFrames)
-  const operators = new OperatorApi(context, configuration, ownership, placement, jobs, frontDoor, membership.membership, links, metrics, requests, () => followers.reduce((sum, follower) => sum + follower.newerRecords, 0), () => instance.isReady)
+  const operators = new OperatorApi(context, configuration, ownership, placement, jobs, requestDispatcher, membership.membership, links, metrics, requests, () => followers.reduce((sum, follower) => sum + follower.newerRecords, 0), () => instance.isReady)
   const jobApi = new JobApi(context, jobs, placement, membership.membership, agent)
-  const server = own(new CallerServer(configuration, frontDoor, jobApi, operators, keys, forwarder, () => instance.isReady))
-  const instance: EntryInstance = new EntryInstance(context, { followers, links, membership, configuration, ownership, slots, requestDispatcher: frontDoor, server, jobs, placement, disposables: owned })
+  const server = own(new CallerServer(configuration, requestDispatcher, jobApi, operators, keys, forwarder, () => instance.isReady))
+  const instance: EntryInstance = new EntryInstance(context, { followers, links, membership, configuration, ownership, slots, requestDispatcher, server, jobs, placement, disposables: owned })
   return instance
 }
 
-/** Wires the stand-in of platform, workers and executors of a site text. */
-export function createSiteStandin (text: SiteConfiguration, options: SiteOptions & { seed: number, logLevel: LogLevel }, sink: LineSink): SiteStandin {
+/** Creates the stand-in of the platform, workers and executors of a site. */
+export function createSiteStandin (configuration: SiteConfiguration, options: SiteOptions & { seed: number, logLevel: LogLevel }, sink: LineSink): SiteStandin {
   const logger = new Logger('standin', options.logLevel, sink)
   const events = new EventLog('standin', randomUUID(), new LogicalClock(), sink)
-  return new SiteStandin({ logger, events, random: new Random(options.seed) }, text, options)
+  return new SiteStandin({ logger, events, random: new Random(options.seed) }, configuration, options)
 }
--- a/test/programs/commandLine.test.ts
+++ b/test/programs/commandLine.test.ts
@@ -30,17 +30,17 @@
 const wrongType = file('wrong-type.jsonc', `{\n  ${ENTRY},\n  "stopBoundMilliseconds": "soon"\n}`)
 const syntaxError = file('syntax-error.jsonc', '{\n  "instance": ,\n}')
 const operator = file('operator.jsonc', '{ "platformAddress": "http://127.0.0.1:1", "entryAddresses": ["http://127.0.0.1:1"], "operatorToken": "0123456789abcdef" }')
-const faultyText = file('faulty.jsonc', '{ "site": "x", "failureDomains": {}, "services": {}, "executorPools": {}, "workerPools": {}, "teams": {}, "extra": 1 }')
+const invalidConfiguration = file('faulty.jsonc', '{ "site": "x", "failureDomains": {}, "services": {}, "executorPools": {}, "workerPools": {}, "teams": {}, "extra": 1 }')
 
-/** Each case guards against a wrong command line that is accepted, or reported without naming what is wrong. */
-const REFUSED: ReadonlyArray<readonly [binary: string, args: readonly string[], expected: RegExp]> = [
+/** Each case guards against an invalid command line that is accepted, or reported without naming the invalid part. */
+const REJECTED: ReadonlyArray<readonly [binary: string, args: readonly string[], expected: RegExp]> = [
   ['vanillaturn', [], /^vanillaturn: a command is expected; see --help\n$/],
   ['vanillaturn', ['bogus'], /^vanillaturn: unknown command 'bogus'; see --help\n$/],
   ['vanillaturn', ['check'], /^vanillaturn: an argument is missing; expected check <file>; see --help\n$/],
   ['vanillaturn', ['check', 'missing.jsonc'], /^vanillaturn: cannot read missing.jsonc: no such file or directory\n$/],
   ['vanillaturn', ['check', SITE, 'more'], /^vanillaturn: unexpected argument 'more'; see --help\n$/],
   ['vanillaturn', ['check', SITE, '--bogus'], /^vanillaturn: unknown option --bogus; see --help\n$/],
-  ['vanillaturn', ['check', faultyText], /^vanillaturn: .*faulty\.jsonc:1:107: extra: unknown key; remove it or correct its name\n$/],
+  ['vanillaturn', ['check', invalidConfiguration], /^vanillaturn: .*faulty\.jsonc:1:107: extra: unknown key; remove it or correct its name\n$/],
   ['vanillaturn', ['publish', SITE], /^vanillaturn: --base: expected the revision that the text was made from, a whole number\n$/],
   ['vanillaturn', ['publish', SITE, '--base'], /^vanillaturn: --base: a value is expected: --base <revision>\n$/],
   ['vanillaturn', ['publish', SITE, '--base', 'one'], /^vanillaturn: --base: expected the revision/],
@@ -74,7 +74,7 @@
 ]
 
 describe('command lines', () => {
-  it('vanillaturn explains a job from the logs of several processes, and fails for one that no line is about', () => {
+  it('vanillaturn explains a job from the logs of several processes, and fails for a job that no line mentions', () => {
     const line = (process: string, message: string, fields: object): string => JSON.stringify({ type: 'log', time: '2026-05-04T13:00:00.000Z', level: 'info', process, message, ...fields })
     const first = file('entry-1.log', line('entry-1', 'job refused', { job: 'aa', reason: 'the log is away' }))
     const second = file('entry-2.log', line('entry-2', 'job accepted', { job: 'aa', durationMilliseconds: 12 }))
@@ -97,15 +97,15 @@
     })
   }
 
-  for (const [binary, args, expected] of REFUSED) {
-    it(`${binary} refuses ${args.join(' ').replaceAll(directory, '').replaceAll(EXAMPLES, '') || 'no arguments'}`, () => {
+  for (const [binary, args, expected] of REJECTED) {
+    it(`${binary} rejects ${args.join(' ').replaceAll(directory, '').replaceAll(EXAMPLES, '') || 'no arguments'}`, () => {
       const { status, errors } = run(binary, args)
       assert.match(errors, expected)
       assert.equal(status, 2)
     })
   }
 
-  it('a platform that is away fails an operator\'s command with its address, and publishes nothing', () => {
+  it('vanillaturn reports the address of an unavailable platform and publishes nothing', () => {
     const show = run('vanillaturn', ['show', '--settings', operator])
     assert.match(show.errors, /^vanillaturn: the platform's log at http:\/\/127\.0\.0\.1:1 does not answer: /)
     assert.equal(show.status, 1)
@@ -114,13 +114,13 @@
     assert.equal(publish.status, 1)
   })
 
-  it('status is not well when an instance cannot be reached', () => {
+  it('vanillaturn status fails if an instance is unreachable', () => {
     const { status, output } = run('vanillaturn', ['status', '--settings', operator])
     assert.match(output, /problem: http:\/\/127\.0\.0\.1:1: unreachable/)
     assert.equal(status, 1)
   })
 
-  it('an entry instance whose port is taken says so and ends', async () => {
+  it('entry reports a port that is in use and exits', async () => {
     const server = createServer()
     await new Promise<void>(resolve => { server.listen(0, '127.0.0.1', resolve) })
     const { port } = server.address() as AddressInfo
--- a/test/programs/embeddedSite.test.ts
+++ b/test/programs/embeddedSite.test.ts
@@ -9,8 +9,8 @@
 import { checkOrder, filterEvents, mergeEvents, parseEvents } from '../../src/operator/timeLine.js'
 import { EmbeddedSite } from '../../src/programs/embeddedSite.js'
 
-/** Time after the stop in which a call that was under way would fail and be logged. */
-const QUIET_MILLISECONDS = 300
+/** Time after the shutdown within which a call still in flight would fail and be logged. */
+const SETTLE_MILLISECONDS = 300
 const SCENARIO = scenarioSchema.parse({
   seed: 5,
   durationMilliseconds: 1000,
@@ -18,20 +18,20 @@
   jobs: [{ atMilliseconds: 0, submission: { name: 'cutting-plan', team: 'orders', kind: 'gang', urgency: 'normal', tasks: 6, resources: { processorsThousandths: 4000, memoryBytes: 16e9 }, runMilliseconds: 300 } }]
 })
 
-/** Time limits of the services, in milliseconds; those of the example end requests on a machine that is very slow. */
+/** Time limits of the services, in milliseconds. Those of the example would end requests on a very slow machine. */
 const DEADLINE_MILLISECONDS = 60_000
 const MAXIMUM_RUN_MILLISECONDS = 30_000
 
-/** Events that the story of one request and of one gang must have, in this order. */
-const REQUEST_STORY = ['requestAccepted', 'requestDispatched', 'executorStarted', 'executorEnded', 'requestAnswered', 'callerAnswered']
-const GANG_STORY = ['jobSubmitted', 'taskStarting', 'taskStarted', 'taskEnded', 'jobEnded']
+/** Events that one request and one gang must cause, in this order. */
+const REQUEST_EVENTS = ['requestAccepted', 'requestDispatched', 'executorStarted', 'executorEnded', 'requestAnswered', 'callerAnswered']
+const GANG_EVENTS = ['jobSubmitted', 'taskStarting', 'taskStarted', 'taskEnded', 'jobEnded']
 
 function firstOfEach (events: readonly SystemEvent[], kinds: readonly string[]): string[] {
   return [...new Set(events.map(event => event.kind as string))].filter(kind => kinds.includes(kind))
 }
 
 describe('EmbeddedSite', () => {
-  it('tells one request and one gang from acceptance to end, in causal order over at least three processes', async () => {
+  it('records one request and one gang from acceptance to end, in causal order across at least three processes', async () => {
     const source = readFileSync(fileURLToPath(new URL('../../../examples/small/site.jsonc', import.meta.url)), 'utf8')
       .replace(/("deadlineMilliseconds": )\d+/g, `$1${DEADLINE_MILLISECONDS}`)
       .replace(/("maximumRunMilliseconds": )\d+/g, `$1${MAXIMUM_RUN_MILLISECONDS}`)
@@ -46,17 +46,17 @@
     } finally {
       await site.stop()
     }
-    const linesAtStop = lines.length
-    await setTimeout(QUIET_MILLISECONDS)
-    assert.deepEqual(lines.slice(linesAtStop), [], 'nothing is logged after the stop')
-    const written = parseEvents(lines)
-    assert.deepEqual(checkOrder(written), [])
-    const events = mergeEvents(written)
+    const linesAtShutdown = lines.length
+    await setTimeout(SETTLE_MILLISECONDS)
+    assert.deepEqual(lines.slice(linesAtShutdown), [], 'nothing is logged after the stop')
+    const parsed = parseEvents(lines)
+    assert.deepEqual(checkOrder(parsed), [])
+    const events = mergeEvents(parsed)
     const request = events.find(event => event.kind === 'callerAnswered')?.request
     const job = events.find(event => event.kind === 'jobSubmitted')?.job
-    for (const [story, told] of [[REQUEST_STORY, filterEvents(events, { request })], [GANG_STORY, filterEvents(events, { job })]] as const) {
-      assert.deepEqual(firstOfEach(told, story), story)
-      assert.ok(new Set(told.map(event => event.process)).size >= 3)
+    for (const [expected, recorded] of [[REQUEST_EVENTS, filterEvents(events, { request })], [GANG_EVENTS, filterEvents(events, { job })]] as const) {
+      assert.deepEqual(firstOfEach(recorded, expected), expected)
+      assert.ok(new Set(recorded.map(event => event.process)).size >= 3)
     }
   })
 })
--- a/test/programs/gracefulShutdown.test.ts
+++ b/test/programs/gracefulShutdown.test.ts
@@ -18,10 +18,10 @@
 const ENTRY_PROGRAM = fileURLToPath(new URL('../../src/programs/entry.js', import.meta.url))
 const SITE = fileURLToPath(new URL('../../../examples/small/site.jsonc', import.meta.url))
 const SERVICE_PATH = '/services/order-confirmation/orders'
-const OPERATOR_TOKEN = 'planned-stop-operator-token'
+const OPERATOR_TOKEN = 'graceful-shutdown-operator-token'
 const CALLERS = 100
-const SERVED_BEFORE_STOP = 300
-const POLL_MILLISECONDS = 20
+const RESPONSES_BEFORE_SHUTDOWN = 300
+const POLL_INTERVAL_MILLISECONDS = 20
 
 const directory = mkdtempSync(join(tmpdir(), 'vanillaturn-test-'))
 const children: ChildProcess[] = []
@@ -44,7 +44,7 @@
 async function startEntry (platformAddress: string): Promise<{ process: ChildProcess, port: number }> {
   const settings = join(directory, 'entry.jsonc')
   writeFileSync(settings, JSON.stringify({
-    instance: 'gent-a-1', failureDomain: 'gent-a', region: 'be-vl', callers: { port: 0 }, links: { port: 0 }, platformAddress, linkKeys: ['planned-stop-link-key'], operatorTokens: [OPERATOR_TOKEN]
+    instance: 'gent-a-1', failureDomain: 'gent-a', region: 'be-vl', callers: { port: 0 }, links: { port: 0 }, platformAddress, linkKeys: ['graceful-shutdown-link-key'], operatorTokens: [OPERATOR_TOKEN]
   }))
   const child = spawn(process.execPath, [ENTRY_PROGRAM, settings], { stdio: ['ignore', 'pipe', 'inherit'] })
   children.push(child)
@@ -54,15 +54,15 @@
     child.stdout.resume()
     return { process: child, port: Number(port) }
   }
-  throw new Error('the entry instance ended before it listened')
+  throw new Error('the entry instance exited before it listened')
 }
 
-async function until (condition: () => boolean): Promise<void> {
-  while (!condition()) await delay(POLL_MILLISECONDS)
+async function waitUntil (condition: () => boolean): Promise<void> {
+  while (!condition()) await delay(POLL_INTERVAL_MILLISECONDS)
 }
 
-describe('planned stop of the compiled entry instance', () => {
-  /** Guards against a stop that resets connections with requests on them: SIGTERM while all callers keep their connections busy. */
+describe('graceful shutdown of the compiled entry instance', () => {
+  /** Guards against a shutdown that resets connections with requests in flight: SIGTERM arrives while all callers keep their connections busy. */
   itUnlessKnownRed('answers every request on kept connections, and ends with status 0', async () => {
     const source = readFileSync(SITE, 'utf8')
     const standin = await startStandin(source)
@@ -74,10 +74,10 @@
       assert.equal((await operator.publish(source, 0, 'test')).kind, 'accepted')
       await operator.close()
       callers.start(CALLERS)
-      await until(() => (callers.counts.answers['200'] ?? 0) >= SERVED_BEFORE_STOP)
-      const ended = once(entry.process, 'exit')
+      await waitUntil(() => (callers.counts.answers['200'] ?? 0) >= RESPONSES_BEFORE_SHUTDOWN)
+      const exited = once(entry.process, 'exit')
       entry.process.kill('SIGTERM')
-      const [status] = await ended
+      const [status] = await exited
       await callers.stop()
       const { brokenKept, brokenFresh, errors, refusalsWithoutRetryAfter } = callers.counts
       assert.deepEqual({ brokenKept, brokenFresh, errors, refusalsWithoutRetryAfter }, { brokenKept: 0, brokenFresh: 0, errors: {}, refusalsWithoutRetryAfter: 0 })
