--- a/src/entry/jobTask.ts
+++ b/src/entry/jobTask.ts
@@ -3,8 +3,8 @@
 import { DisposableObject } from '../base/disposable.js'
 import type { Job, JobSubmission } from '../contracts/jobs.js'
 import type { Resources } from '../contracts/resources.js'
-import { domainStream, type RecordBody } from '../contracts/records.js'
-import type { SiteText } from '../contracts/siteText.js'
+import { domainStreamName, type RecordBody } from '../contracts/records.js'
+import type { SiteConfiguration } from '../contracts/siteConfiguration.js'
 import type { ServingError } from '../contracts/verdict.js'
 import type { AppendOutcome, LogAppender } from '../links/logAppender.js'
 import type { LogFollower } from '../links/logFollower.js'
@@ -118,7 +118,7 @@
   }
 
   private async append (failureDomain: string, body: RecordBody, identity: string): Promise<AppendOutcome> {
-    const stream = domainStream('jobs', failureDomain)
+    const stream = domainStreamName('jobs', failureDomain)
     let appender = this.appenders.get(stream)
     if (appender === undefined) {
       appender = this.register(this.createAppender(stream))
@@ -134,7 +134,7 @@
   return dot > 0 ? identity.slice(0, dot) : undefined
 }
 
-function validateSubmission (submission: JobSubmission, text: SiteText): ServingError | undefined {
+function validateSubmission (submission: JobSubmission, text: SiteConfiguration): ServingError | undefined {
   if (!(submission.team in text.teams)) {
     return { code: 'malformedRequest', verdict: 'notRun', message: `team: unknown team '${submission.team}'` }
   }
@@ -145,7 +145,7 @@
 }
 
 /** Selects, by the seed, one of the failure domains whose workers could ever run the job. */
-function selectFailureDomain (submission: JobSubmission, text: SiteText, seed: string): string | undefined {
+function selectFailureDomain (submission: JobSubmission, text: SiteConfiguration, seed: string): string | undefined {
   const candidates = Object.keys(text.failureDomains)
     .filter(domain => submission.failureDomain === undefined || domain === submission.failureDomain)
     .filter(domain => couldEverFit(submission, workerCapacities(text, domain)))
@@ -155,7 +155,7 @@
 }
 
 /** Returns the capacities of the workers that the site configuration defines for a failure domain. */
-export function workerCapacities (text: SiteText, failureDomain: string): Resources[] {
+export function workerCapacities (text: SiteConfiguration, failureDomain: string): Resources[] {
   const capacities: Resources[] = []
   for (const pool of Object.values(text.workerPools)) {
     const { processorsThousandths, memoryBytes, accelerators } = pool
--- a/src/entry/ownershipTask.ts
+++ b/src/entry/ownershipTask.ts
@@ -199,7 +199,7 @@
 
   private isGone (identity: InstanceIdentity, now: number): boolean {
     if (this.links.peers().some(peer => instanceKey(peer) === instanceKey(identity))) return false
-    return this.membership.ageMilliseconds(now) < MAXIMUM_LIST_AGE_MILLISECONDS && this.membership.find(identity.instance) === undefined
+    return this.membership.listAgeMilliseconds(now) < MAXIMUM_LIST_AGE_MILLISECONDS && this.membership.find(identity.instance) === undefined
   }
 
   private notifyOwnerChange (): void {
--- a/src/entry/slotTask.ts
+++ b/src/entry/slotTask.ts
@@ -2,7 +2,7 @@
 import { describeError } from '../base/logger.js'
 import { Task } from '../base/task.js'
 import { decodeGrants, decodeUses, encodeGrants, encodeUses, type LinkMessageOf } from '../contracts/linkMessages.js'
-import type { SiteText } from '../contracts/siteText.js'
+import type { SiteConfiguration } from '../contracts/siteConfiguration.js'
 import type { LinkTransport } from '../links/linkHub.js'
 import type { PeerIdentity } from '../links/handshake.js'
 import type { Membership } from '../machines/membership.js'
@@ -165,7 +165,7 @@
 
   /** Notifies the allocator of ended processes. A process has ended if its successor reports, or if the instance list no longer contains its instance. */
   private handleEndedProcesses (reporter: string, holder: string): void {
-    const listIsFresh = this.membership.ageMilliseconds(monotonicNow()) < MAXIMUM_LIST_AGE_MILLISECONDS
+    const listIsFresh = this.membership.listAgeMilliseconds(monotonicNow()) < MAXIMUM_LIST_AGE_MILLISECONDS
     const remaining = new Set(this.allocator?.holderKeys())
     for (const [key, instance] of this.instanceOfHolder) {
       const replaced = instance === reporter && key !== holder
@@ -183,7 +183,7 @@
 }
 
 /** Returns the limits of the executors of a failure domain. */
-export function executorLimits (text: SiteText, membership: Membership, failureDomain: string, runTimeBounds: RunTimeBounds, now: number): ExecutorLimits[] {
+export function executorLimits (text: SiteConfiguration, membership: Membership, failureDomain: string, runTimeBounds: RunTimeBounds, now: number): ExecutorLimits[] {
   const limits: ExecutorLimits[] = []
   const maximumRunByPool = new Map(Object.keys(text.executorPools).map(pool => [pool, runTimeBounds.update(pool, maximumRunMilliseconds(text, pool), now)]))
   for (const executor of membership.executors(failureDomain)) {
@@ -194,6 +194,6 @@
   return limits
 }
 
-function maximumRunMilliseconds (text: SiteText, pool: string): number {
+function maximumRunMilliseconds (text: SiteConfiguration, pool: string): number {
   return Math.max(0, ...Object.values(text.services).filter(service => service.executorPool === pool).map(service => service.maximumRunMilliseconds))
 }
--- a/src/links/platformLog.ts
+++ b/src/links/platformLog.ts
@@ -1,15 +1,15 @@
 import { Agent, request } from 'undici'
 import { describeError } from '../base/logger.js'
-import { appendAnswerSchema, readAnswerSchema, type AppendAnswer, type ReadAnswer } from '../contracts/platformProtocol.js'
+import { appendResponseSchema, readResponseSchema, type AppendResponse, type ReadResponse } from '../contracts/platformProtocol.js'
 import type { RecordEnvelope } from '../contracts/records.js'
 import { isConnectFailure } from './connectFailure.js'
 
 /** The platform's append-only log. Every method rejects when the log is away; an append may have taken effect nevertheless, unless it rejects with `AppendRefusedError`. */
 export abstract class PlatformLog {
-  abstract append (stream: string, records: readonly RecordEnvelope[], signal?: AbortSignal): Promise<AppendAnswer>
+  abstract append (stream: string, records: readonly RecordEnvelope[], signal?: AbortSignal): Promise<AppendResponse>
 
   /** Reads from `from`; waits up to `waitMilliseconds` for a record if there is none. */
-  abstract read (stream: string, from: number, limit: number, waitMilliseconds: number, signal?: AbortSignal): Promise<ReadAnswer>
+  abstract read (stream: string, from: number, limit: number, waitMilliseconds: number, signal?: AbortSignal): Promise<ReadResponse>
 }
 
 /** The log has certainly not taken the records of an append. */
@@ -29,7 +29,7 @@
     super()
   }
 
-  override async append (stream: string, records: readonly RecordEnvelope[], signal?: AbortSignal): Promise<AppendAnswer> {
+  override async append (stream: string, records: readonly RecordEnvelope[], signal?: AbortSignal): Promise<AppendResponse> {
     const body = JSON.stringify({ records })
     const answer = await this.sendAppend(stream, body, signal)
     if (answer.statusCode !== 200) {
@@ -37,7 +37,7 @@
       const message = `the platform's log answered append with status ${answer.statusCode}`
       throw isRefusal(answer.statusCode) ? new AppendRefusedError(message) : new Error(message)
     }
-    return appendAnswerSchema.parse(await answer.body.json())
+    return appendResponseSchema.parse(await answer.body.json())
   }
 
   private async sendAppend (stream: string, body: string, signal: AbortSignal | undefined): ReturnType<typeof request> {
@@ -50,12 +50,12 @@
     }
   }
 
-  override async read (stream: string, from: number, limit: number, waitMilliseconds: number, signal?: AbortSignal): Promise<ReadAnswer> {
+  override async read (stream: string, from: number, limit: number, waitMilliseconds: number, signal?: AbortSignal): Promise<ReadResponse> {
     const query = new URLSearchParams({ from: String(from), limit: String(limit), waitMilliseconds: String(waitMilliseconds) })
     const answer = await request(`${this.address}/streams/${encodeURIComponent(stream)}/records?${query}`, {
       dispatcher: this.agent, signal, headersTimeout: CALL_TIMEOUT_MILLISECONDS + waitMilliseconds, bodyTimeout: CALL_TIMEOUT_MILLISECONDS
     })
-    return readAnswerSchema.parse(await readJson(answer, 'read'))
+    return readResponseSchema.parse(await readJson(answer, 'read'))
   }
 }
 
--- a/test/entry/jobTask.test.ts
+++ b/test/entry/jobTask.test.ts
@@ -6,9 +6,9 @@
 import { Logger } from '../../src/base/logger.js'
 import { Random } from '../../src/base/random.js'
 import { EventLog } from '../../src/contracts/eventLog.js'
-import type { AppendAnswer, ReadAnswer } from '../../src/contracts/platformProtocol.js'
+import type { AppendResponse, ReadResponse } from '../../src/contracts/platformProtocol.js'
 import type { RecordEnvelope, StoredRecord } from '../../src/contracts/records.js'
-import { checkSiteText } from '../../src/contracts/siteText.js'
+import { checkSiteConfiguration } from '../../src/contracts/siteConfiguration.js'
 import type { ConfigurationTask } from '../../src/entry/configurationTask.js'
 import type { EntryContext } from '../../src/entry/entryContext.js'
 import { JobTask } from '../../src/entry/jobTask.js'
@@ -24,17 +24,17 @@
   attempts = 0
   constructor (private readonly behaviors: readonly AppendBehavior[]) { super() }
 
-  override async append (_stream: string, records: readonly RecordEnvelope[]): Promise<AppendAnswer> {
+  override async append (_stream: string, records: readonly RecordEnvelope[]): Promise<AppendResponse> {
     const behavior = this.behaviors[Math.min(this.attempts, this.behaviors.length - 1)]
     this.attempts += 1
     if (behavior === 'refused') throw new AppendRefusedError('status 503')
     this.records.push(...records)
     if (behavior === 'lost') throw new Error('connection reset')
-    if (behavior === 'silent') return await new Promise<AppendAnswer>(() => {})
+    if (behavior === 'silent') return await new Promise<AppendResponse>(() => {})
     return { firstOffset: 0, nextOffset: 1 }
   }
 
-  override async read (): Promise<ReadAnswer> {
+  override async read (): Promise<ReadResponse> {
     return { retainedFrom: 0, nextOffset: 0, records: [] }
   }
 }
@@ -63,14 +63,14 @@
     it(name, async () => {
       const timers = install({ now: 0, toFake: ['setTimeout', 'clearTimeout', 'Date', 'performance'] })
       try {
-        const checked = checkSiteText('text', TEXT)
+        const checked = checkSiteConfiguration('text', TEXT)
         assert.equal(checked.kind, 'valid', JSON.stringify(checked))
         const logger = new Logger('entry', 'error', () => {})
         const context = { settings: { failureDomain: 'zone-a' }, events: new EventLog('entry', 'one', new LogicalClock(), () => {}), logger } as unknown as EntryContext
         const read = new Emitter<StoredRecord>()
         const readIdentity = new Emitter<string>()
         const follower = { stream: 'jobs.zone-a', onDidReadRecord: read.event, onDidReadIdentity: readIdentity.event } as unknown as LogFollower
-        const configuration = { inForce: { revision: 1, text: checked.kind === 'valid' ? checked.text : undefined } } as unknown as ConfigurationTask
+        const configuration = { inForce: { revision: 1, text: checked.kind === 'valid' ? checked.configuration : undefined } } as unknown as ConfigurationTask
         const log = new ScriptedLog(behaviors)
         const jobs = new JobTask(context, configuration, follower, stream => new LogAppender(stream, 'entry', log, new LogicalClock(), logger, new Random(1)))
         const submitted = jobs.submit({ name: 'one', team: 'one', kind: 'batch', urgency: 'normal', tasks: 1, resources: { processorsThousandths: 1, memoryBytes: 1, accelerators: 0 }, checkpointable: false }, 'key')
--- a/test/entry/retentionTask.test.ts
+++ b/test/entry/retentionTask.test.ts
@@ -7,8 +7,8 @@
 import { Logger } from '../../src/base/logger.js'
 import { Random } from '../../src/base/random.js'
 import { EventLog } from '../../src/contracts/eventLog.js'
-import type { AppendAnswer, ReadAnswer } from '../../src/contracts/platformProtocol.js'
-import { CONFIGURATION_STREAM, domainStream, RECORD_SCHEMA_VERSION, type RecordBody, type RecordEnvelope } from '../../src/contracts/records.js'
+import type { AppendResponse, ReadResponse } from '../../src/contracts/platformProtocol.js'
+import { CONFIGURATION_STREAM, domainStreamName, RECORD_SCHEMA_VERSION, type RecordBody, type RecordEnvelope } from '../../src/contracts/records.js'
 import { ConfigurationTask } from '../../src/entry/configurationTask.js'
 import type { EntryContext } from '../../src/entry/entryContext.js'
 import { JobTask } from '../../src/entry/jobTask.js'
@@ -20,21 +20,21 @@
 
 const RETAINED_RECORDS = 40
 const DOMAIN = 'zone-a'
-const JOBS = domainStream('jobs', DOMAIN)
+const JOBS = domainStreamName('jobs', DOMAIN)
 
 /** Streams in memory that retain the last records. A waiting read returns at the next append. */
 class MemoryLog extends PlatformLog {
   private readonly streams = new Map<string, RecordEnvelope[]>()
   private readonly appended = new Emitter<void>()
 
-  override async append (stream: string, records: readonly RecordEnvelope[]): Promise<AppendAnswer> {
+  override async append (stream: string, records: readonly RecordEnvelope[]): Promise<AppendResponse> {
     const existing = this.streams.get(stream) ?? []
     this.streams.set(stream, [...existing, ...records])
     this.appended.fire()
     return { firstOffset: existing.length, nextOffset: existing.length + records.length }
   }
 
-  override async read (stream: string, from: number, limit: number, waitMilliseconds: number, signal?: AbortSignal): Promise<ReadAnswer> {
+  override async read (stream: string, from: number, limit: number, waitMilliseconds: number, signal?: AbortSignal): Promise<ReadResponse> {
     if (waitMilliseconds > 0 && (this.streams.get(stream)?.length ?? 0) <= from) {
       await new Promise<void>(resolve => {
         const finish = (): void => {
