--- a/src/links/httpServer.ts
+++ b/src/links/httpServer.ts
@@ -57,7 +57,7 @@
   }
 
   /** From now on the last answer of each connection closes it. */
-  closeAfterAnswers (): void {
+  closeAfterResponses (): void {
     this.isClosing = true
     for (const connection of this.connections.values()) connection.closeAfterAnswers()
   }
@@ -70,7 +70,7 @@
   async stopListening (deadline: number): Promise<void> {
     if (!this.server.listening || this.isHolding) return
     this.isHolding = true
-    this.closeAfterAnswers()
+    this.closeAfterResponses()
     const startedAt = performance.now()
     const latest = Math.min(deadline - LINGER_MILLISECONDS, startedAt + BACKLOG_MILLISECONDS)
     await this.untilNoneAccepted(Math.min(latest, startedAt + SETTLE_MILLISECONDS), async () => { await delay(QUIET_MILLISECONDS) })
