--- a/src/links/httpConnection.ts
+++ b/src/links/httpConnection.ts
@@ -38,7 +38,7 @@
   }
 
   /** Lets the answer to the last request read so far close the connection. */
-  closeAfterAnswers (): void {
+  closeAfterLastResponse (): void {
     for (const [index, response] of this.responses.entries()) {
       if (response.headersSent) continue
       if (index === this.responses.length - 1) response.setHeader(CONNECTION_HEADER, 'close')
--- a/src/links/httpServer.ts
+++ b/src/links/httpServer.ts
@@ -59,7 +59,7 @@
   /** From now on the last answer of each connection closes it. */
   closeAfterResponses (): void {
     this.isClosing = true
-    for (const connection of this.connections.values()) connection.closeAfterAnswers()
+    for (const connection of this.connections.values()) connection.closeAfterLastResponse()
   }
 
   /**
@@ -130,7 +130,7 @@
       request.resume()
       return
     }
-    if (this.isClosing) connection.closeAfterAnswers()
+    if (this.isClosing) connection.closeAfterLastResponse()
     if (this.isHolding) this.held.push(() => { this.handle(request, response) })
     else this.handler(request, response)
   }
