--- a/src/links/httpConnection.ts
+++ b/src/links/httpConnection.ts
@@ -52,7 +52,7 @@
   }
 
   /** Closes the connection unless a request is being answered. A request whose head has not arrived whole is told to come back. */
-  closeIfUnread (): void {
+  closeUnlessResponding (): void {
     if (this.responses.length > 0 || this.isClosing) return
     if (this.socket.bytesRead !== this.bytesReadWhenIdle) this.socket.write(UNREAD_REQUEST_ANSWER)
     this.close()
--- a/src/links/httpServer.ts
+++ b/src/links/httpServer.ts
@@ -94,7 +94,7 @@
     await this.untilEnded(Math.min(closeAt, performance.now() + this.server.keepAliveTimeout))
     for (const connection of this.connections.values()) connection.closeIfIdle()
     await this.untilEnded(closeAt)
-    for (const connection of this.connections.values()) connection.closeIfUnread()
+    for (const connection of this.connections.values()) connection.closeUnlessResponding()
     await this.untilEnded(deadline)
     let cutOff = 0
     for (const connection of this.connections.values()) cutOff += connection.unanswered
