--- a/src/links/httpConnection.ts
+++ b/src/links/httpConnection.ts
@@ -22,7 +22,7 @@
   }
 
   /** Number of requests that have been read and not answered to their end. */
-  get unanswered (): number {
+  get pendingRequests (): number {
     return this.responses.length
   }
 
--- a/src/links/httpServer.ts
+++ b/src/links/httpServer.ts
@@ -97,7 +97,7 @@
     for (const connection of this.connections.values()) connection.closeUnlessResponding()
     await this.untilEnded(deadline)
     let cutOff = 0
-    for (const connection of this.connections.values()) cutOff += connection.unanswered
+    for (const connection of this.connections.values()) cutOff += connection.pendingRequests
     this.dispose()
     return cutOff
   }
