--- a/src/links/httpConnection.ts
+++ b/src/links/httpConnection.ts
@@ -2,7 +2,7 @@
 import type { Socket } from 'node:net'
 
 /** Time that a peer has to read the last answer and to close its side, in milliseconds. */
-export const LINGER_MILLISECONDS = 2000
+export const LINGER_TIMEOUT_MILLISECONDS = 2000
 
 const CONNECTION_HEADER = 'connection'
 const RETRY_AFTER_SECONDS = 1
@@ -66,7 +66,7 @@
     // The body of a request that was answered before it was read pauses the socket.
     this.socket.on('pause', () => { this.socket.resume() })
     this.socket.resume()
-    const timer = setTimeout(() => { this.socket.destroy() }, LINGER_MILLISECONDS)
+    const timer = setTimeout(() => { this.socket.destroy() }, LINGER_TIMEOUT_MILLISECONDS)
     this.socket.once('close', () => { clearTimeout(timer) })
   }
 }
--- a/src/links/httpServer.ts
+++ b/src/links/httpServer.ts
@@ -3,7 +3,7 @@
 import { setImmediate as nextTurn } from 'node:timers/promises'
 import { delay } from '../base/delay.js'
 import { DisposableObject, toDisposable } from '../base/disposable.js'
-import { HttpConnection, LINGER_MILLISECONDS } from './httpConnection.js'
+import { HttpConnection, LINGER_TIMEOUT_MILLISECONDS } from './httpConnection.js'
 
 /** Time without a new connection after which listening ends, in milliseconds; callers that connect anew after an answer do so sooner. */
 const QUIET_MILLISECONDS = 20
@@ -72,7 +72,7 @@
     this.isHolding = true
     this.closeAfterResponses()
     const startedAt = performance.now()
-    const latest = Math.min(deadline - LINGER_MILLISECONDS, startedAt + BACKLOG_MILLISECONDS)
+    const latest = Math.min(deadline - LINGER_TIMEOUT_MILLISECONDS, startedAt + BACKLOG_MILLISECONDS)
     await this.untilNoneAccepted(Math.min(latest, startedAt + SETTLE_MILLISECONDS), async () => { await delay(QUIET_MILLISECONDS) })
     // One connection is accepted in a turn of the event loop.
     await nextTurn()
@@ -90,7 +90,7 @@
     await this.stopListening(deadline)
     this.isHolding = false
     for (const handle of this.held.splice(0)) handle()
-    const closeAt = deadline - LINGER_MILLISECONDS
+    const closeAt = deadline - LINGER_TIMEOUT_MILLISECONDS
     await this.untilEnded(Math.min(closeAt, performance.now() + this.server.keepAliveTimeout))
     for (const connection of this.connections.values()) connection.closeIfIdle()
     await this.untilEnded(closeAt)
