--- a/src/cluster/instanceLinks.ts
+++ b/src/cluster/instanceLinks.ts
@@ -70,7 +70,7 @@
 
   /** Sends a request to the holder of the role; resolves with undefined if there is no reply in time. */
   async queryHolder (request: ClusterRequest, timeoutMilliseconds: number): Promise<ClusterReply | undefined> {
-    return await this.holderLink?.link.ask(request, timeoutMilliseconds)
+    return await this.holderLink?.link.sendRequest(request, timeoutMilliseconds)
   }
 
   /** Returns the peer that should take the role over from this instance; undefined if no peer has a link. */
@@ -156,7 +156,7 @@
 }
 
 async function queryOverLink (link: ClusterLink, step: string, workers: readonly string[], timeoutMilliseconds: number): Promise<EligibilityOutcome> {
-  const reply = await link.ask({ type: 'eligibilityQuestion', step, workers, timeoutMilliseconds }, timeoutMilliseconds + LINK_ROUND_TRIP_MILLISECONDS)
+  const reply = await link.sendRequest({ type: 'eligibilityQuestion', step, workers, timeoutMilliseconds }, timeoutMilliseconds + LINK_ROUND_TRIP_MILLISECONDS)
   if (reply?.type !== 'eligibilityReply') return { kind: 'failed', reason: 'the instance did not answer' }
   if (reply.reason !== '') return { kind: 'failed', reason: reply.reason }
   return { kind: 'eligible', workers: reply.workers.map(([worker, ticket]) => ({ worker, ticket })), validMilliseconds: reply.validMilliseconds }
--- a/src/links/clusterLink.ts
+++ b/src/links/clusterLink.ts
@@ -45,7 +45,7 @@
   }
 
   /** Asks the peer; undefined if it does not answer in time or the link closes. */
-  async ask (question: ClusterRequest, timeoutMilliseconds: number): Promise<ClusterReply | undefined> {
+  async sendRequest (question: ClusterRequest, timeoutMilliseconds: number): Promise<ClusterReply | undefined> {
     if (this.isDisposed) return undefined
     const id = this.nextIdentifier++
     return await new Promise(resolve => {
