--- a/src/entry/jobTask.ts
+++ b/src/entry/jobTask.ts
@@ -39,7 +39,7 @@
   ) {
     super()
     this.register(this.didChange)
-    this.register(follower.onDidReadIdentity(identity => this.appenders.get(follower.stream)?.noteRead(identity)))
+    this.register(follower.onDidReadIdentity(identity => this.appenders.get(follower.stream)?.confirm(identity)))
     this.register(follower.onDidReadRecord(record => {
       this.book.apply(record)
       if (record.body.type === 'jobEnded') this.ending.delete(record.body.job)
--- a/src/entry/retentionTask.ts
+++ b/src/entry/retentionTask.ts
@@ -41,7 +41,7 @@
   ) {
     super()
     this.appender = this.register(createAppender(CONFIGURATION_STREAM))
-    this.register(configurationFollower.onDidReadIdentity(identity => this.appender.noteRead(identity)))
+    this.register(configurationFollower.onDidReadIdentity(identity => this.appender.confirm(identity)))
     this.register(configurationFollower.onDidReadRecord(({ offset, body }) => {
       if (body.type === 'configurationRestated') this.textAnchor = { offset, seenAt: monotonicNow() }
     }))
--- a/src/links/logAppender.ts
+++ b/src/links/logAppender.ts
@@ -70,7 +70,7 @@
   }
 
   /** Notes that a record was read from the stream, which confirms it although the answer to its append may be lost. */
-  noteRead (identity: string): void {
+  confirm (identity: string): void {
     const confirmed = this.pending.filter(record => record.envelope.identity === identity)
     if (confirmed.length > 0) this.settleAll(confirmed)
   }
