--- a/src/entry/ownershipTask.ts
+++ b/src/entry/ownershipTask.ts
@@ -157,7 +157,7 @@
         this.probe()
         return
       case 'claim':
-        this.appender.appendOnce(action.body, APPEND_TIMEOUT_MILLISECONDS, action.identity)
+        this.appender.appendWithoutRetry(action.body, APPEND_TIMEOUT_MILLISECONDS, action.identity)
         return
       case 'renew':
         this.renew(action)
@@ -165,7 +165,7 @@
   }
 
   private async renew (action: Extract<OwnershipAction, { kind: 'renew' }>): Promise<void> {
-    await this.appender.appendOnce(action.body, APPEND_TIMEOUT_MILLISECONDS)
+    await this.appender.appendWithoutRetry(action.body, APPEND_TIMEOUT_MILLISECONDS)
     this.post({ kind: 'renewalSettled' })
   }
 
--- a/src/links/logAppender.ts
+++ b/src/links/logAppender.ts
@@ -79,7 +79,7 @@
    * Sends a record once, past the queue, for records that lose their use by waiting. Resolves with whether the log has
    * confirmed it within `timeoutMilliseconds`; it may take effect nevertheless.
    */
-  async appendOnce (body: RecordBody, timeoutMilliseconds: number, identity: string = randomUUID()): Promise<boolean> {
+  async appendWithoutRetry (body: RecordBody, timeoutMilliseconds: number, identity: string = randomUUID()): Promise<boolean> {
     if (this.stopping.signal.aborted) return false
     const envelope: RecordEnvelope = { identity, schemaVersion: RECORD_SCHEMA_VERSION, writer: this.writer, logicalTime: this.clock.tick(), body }
     const ending = new AbortController()
