--- a/src/links/executorClient.ts
+++ b/src/links/executorClient.ts
@@ -1,7 +1,7 @@
 import type { Readable } from 'node:stream'
 import { DisposableObject, toDisposable } from '../base/disposable.js'
 import { Emitter, type Event } from '../base/emitter.js'
-import { ConnectionSet } from './connectionSet.js'
+import { ConnectionSet } from './connectionPool.js'
 import { isConnectFailure } from './connectFailure.js'
 import type { OutgoingRequest } from './outgoingRequest.js'
 
