--- a/src/links/connectionPool.ts
+++ b/src/links/connectionPool.ts
@@ -114,7 +114,7 @@
 }
 
 /** Connections to one address within a limit. A connection counts from before it opens until its socket has closed. */
-export class ConnectionSet {
+export class ConnectionPool {
   private readonly connections = new Set<Connection>()
   private idle: Connection[] = []
   private limitOfOpen = 0
--- a/src/links/executorClient.ts
+++ b/src/links/executorClient.ts
@@ -1,7 +1,7 @@
 import type { Readable } from 'node:stream'
 import { DisposableObject, toDisposable } from '../base/disposable.js'
 import { Emitter, type Event } from '../base/emitter.js'
-import { ConnectionSet } from './connectionPool.js'
+import { ConnectionPool } from './connectionPool.js'
 import { isConnectFailure } from './connectFailure.js'
 import type { OutgoingRequest } from './outgoingRequest.js'
 
@@ -47,7 +47,7 @@
 
 /** HTTP/1.1 without pipelining. */
 export class HttpExecutorClient extends ExecutorClient {
-  private readonly sets = new Map<string, ConnectionSet>()
+  private readonly sets = new Map<string, ConnectionPool>()
 
   constructor () {
     super()
@@ -80,10 +80,10 @@
     this.sets.get(address)?.limit(connections)
   }
 
-  private setFor (address: string): ConnectionSet {
+  private setFor (address: string): ConnectionPool {
     const existing = this.sets.get(address)
     if (existing !== undefined) return existing
-    const set = new ConnectionSet(address, open => {
+    const set = new ConnectionPool(address, open => {
       if (open === 0) this.sets.delete(address)
       this.didChangeConnections.fire({ address, open })
     })
