--- a/src/links/connectionPool.ts
+++ b/src/links/connectionPool.ts
@@ -128,7 +128,7 @@
   }
 
   /** Takes the connection that was used last, or a new one within the limit. */
-  take (): Connection | undefined {
+  acquire (): Connection | undefined {
     const connection = this.idle.pop() ?? this.open()
     if (connection !== undefined) connection.busy = true
     return connection
--- a/src/links/executorClient.ts
+++ b/src/links/executorClient.ts
@@ -59,7 +59,7 @@
   override async send (address: string, request: OutgoingRequest, timeoutMilliseconds: number, connections: number, signal: AbortSignal, mayStart: () => boolean): Promise<ExecutorResult> {
     const set = this.setFor(address)
     set.limit(connections)
-    const connection = set.take()
+    const connection = set.acquire()
     if (connection === undefined) return { kind: 'notSent', reason: 'no connection is free' }
     const timeout = new AbortController()
     const timer = setTimeout(() => timeout.abort(new TimedOutError('no answer in time')), timeoutMilliseconds)
