--- a/src/links/connectionPool.ts
+++ b/src/links/connectionPool.ts
@@ -122,7 +122,7 @@
   constructor (private readonly address: string, private readonly onChange: (open: number) => void) {}
 
   /** Sets the most connections that may be open; closes idle ones above it. */
-  limit (connections: number): void {
+  setLimit (connections: number): void {
     this.limitOfOpen = connections
     this.closeExcess()
   }
--- a/src/links/executorClient.ts
+++ b/src/links/executorClient.ts
@@ -58,7 +58,7 @@
 
   override async send (address: string, request: OutgoingRequest, timeoutMilliseconds: number, connections: number, signal: AbortSignal, mayStart: () => boolean): Promise<ExecutorResult> {
     const set = this.setFor(address)
-    set.limit(connections)
+    set.setLimit(connections)
     const connection = set.acquire()
     if (connection === undefined) return { kind: 'notSent', reason: 'no connection is free' }
     const timeout = new AbortController()
@@ -77,7 +77,7 @@
   }
 
   override limitConnections (address: string, connections: number): void {
-    this.sets.get(address)?.limit(connections)
+    this.sets.get(address)?.setLimit(connections)
   }
 
   private setFor (address: string): ConnectionPool {
