--- a/src/links/connectionPool.ts
+++ b/src/links/connectionPool.ts
@@ -10,14 +10,14 @@
 class NotStartedError extends Error {}
 
 /** What is asked and told when the first byte of a request is about to go out. */
-export interface StartGate {
+export interface StartHooks {
   mayStart (): boolean
   /** Bytes may have gone out from now on. */
   onStart (): void
 }
 
 /** Wraps a handler so that the gate is asked at the point where undici is about to write; an abort there writes nothing. */
-function gateStart (handler: Dispatcher.DispatchHandler, gate: StartGate): Dispatcher.DispatchHandler {
+function gateStart (handler: Dispatcher.DispatchHandler, gate: StartHooks): Dispatcher.DispatchHandler {
   return {
     onRequestStart: (controller, context) => {
       if (gate.mayStart()) handler.onRequestStart?.(controller, context)
@@ -63,7 +63,7 @@
   }
 
   /** Rejects if the connection breaks before the head of the answer. */
-  async request (request: OutgoingRequest, timeoutMilliseconds: number, signal: AbortSignal, gate: StartGate): Promise<Dispatcher.ResponseData> {
+  async request (request: OutgoingRequest, timeoutMilliseconds: number, signal: AbortSignal, gate: StartHooks): Promise<Dispatcher.ResponseData> {
     const dispatcher = this.client.compose(dispatch => (options, handler) => dispatch(options, gateStart(handler, gate)))
     try {
       const answer = await dispatcher.request({
