--- a/src/entry/forwarder.ts
+++ b/src/entry/forwarder.ts
@@ -1,6 +1,6 @@
 import type { SiteText } from '../contracts/siteText.js'
 import { servingErrorSchema, type ServingError } from '../contracts/verdict.js'
-import type { ExecutorAnswer, ExecutorClient } from '../links/executorClient.js'
+import type { ExecutorResponse, ExecutorClient } from '../links/executorClient.js'
 import { createPeerProof, isValidPeerProof, PEER_PROOF_HEADER, PROOF_VALID_MILLISECONDS } from '../links/peerProof.js'
 import type { ListedEntry, Membership } from '../machines/membership.js'
 import { CALLER_HEADERS, endToEndHeaders } from '../requests/headers.js'
@@ -72,7 +72,7 @@
   }
 
   /** Passes on an error of the peer with its verdict; treats any other response as the executor's. */
-  private async relayResponse (pending: PendingRequest, response: ExecutorAnswer): Promise<ServingResult> {
+  private async relayResponse (pending: PendingRequest, response: ExecutorResponse): Promise<ServingResult> {
     response.body.on('error', () => {})
     this.context.events.clock.observe(Number(response.headers[CALLER_HEADERS.logicalTime] ?? 0))
     if (response.headers[CALLER_HEADERS.verdict] === undefined) {
--- a/src/entry/requestSender.ts
+++ b/src/entry/requestSender.ts
@@ -1,6 +1,6 @@
 import { DisposableObject, toDisposable } from '../base/disposable.js'
 import type { ServingError } from '../contracts/verdict.js'
-import { NOT_RUN_HEADER, type ExecutorAnswer, type ExecutorClient, type ExecutorResult } from '../links/executorClient.js'
+import { NOT_RUN_HEADER, type ExecutorResponse, type ExecutorClient, type ExecutorResult } from '../links/executorClient.js'
 import type { OutgoingRequest } from '../links/outgoingRequest.js'
 import { PEER_PROOF_HEADER } from '../links/peerProof.js'
 import type { Executor } from '../machines/executor.js'
@@ -73,7 +73,7 @@
     return { error, retryable: pending.isIdempotent && canBeSent, sent: true }
   }
 
-  private onResponse (pending: PendingRequest, executor: Executor, response: ExecutorAnswer, startedAt: number): FailedAttempt | undefined {
+  private onResponse (pending: PendingRequest, executor: Executor, response: ExecutorResponse, startedAt: number): FailedAttempt | undefined {
     pending.attempts += 1
     response.body.on('error', error => this.context.logger.debug('the response of an executor was cut short', { executor: executor.name, reason: error.message }))
     const refused = response.status === 503 && response.headers[NOT_RUN_HEADER] !== undefined
@@ -100,7 +100,7 @@
   }
 
   /** Aborts the response at `deadline`, so that a slow reader holds a slot and a connection no longer than the request may run. */
-  private limitResponseTime (response: ExecutorAnswer, deadline: number): void {
+  private limitResponseTime (response: ExecutorResponse, deadline: number): void {
     const timer = this.startTimer(() => response.body.destroy(new Error('the caller did not read the response in time')), deadline)
     response.body.once('close', () => this.stopTimer(timer))
   }
--- a/src/links/executorClient.ts
+++ b/src/links/executorClient.ts
@@ -6,7 +6,7 @@
 import type { OutgoingRequest } from './outgoingRequest.js'
 
 /** Head of an executor's answer with its body to be read. */
-export interface ExecutorAnswer {
+export interface ExecutorResponse {
   readonly status: number
   readonly headers: Readonly<Record<string, string | string[]>>
   readonly body: Readable
@@ -17,7 +17,7 @@
   | { readonly kind: 'notSent', readonly reason: string, readonly unreachable?: boolean }
   | { readonly kind: 'mayHaveRun', readonly reason: string, readonly timedOut: boolean }
 
-export type ExecutorResult = { readonly kind: 'answer', readonly answer: ExecutorAnswer } | ExecutorFailure
+export type ExecutorResult = { readonly kind: 'answer', readonly answer: ExecutorResponse } | ExecutorFailure
 
 /** Connections to an address that are open, opening or closing. */
 export interface ConnectionCount {
