--- a/src/entry/forwarder.ts
+++ b/src/entry/forwarder.ts
@@ -54,7 +54,7 @@
     const result = await this.client.send(peer.callerAddress, { method: request.method, path, headers, body: request.body.open() }, remaining, PEER_CONNECTIONS, request.signal, () => monotonicNow() < request.deadline)
     if (result.kind === 'notSent') return errorResult(UNREACHABLE)
     if (result.kind === 'mayHaveRun') return errorResult(result.timedOut ? TIMED_OUT : OUTCOME_UNKNOWN)
-    return await this.relayResponse(pending, result.answer)
+    return await this.relayResponse(pending, result.response)
   }
 
   /** Returns true if a forwarded request carries a valid proof and its identity has not been received before. */
--- a/src/entry/requestSender.ts
+++ b/src/entry/requestSender.ts
@@ -52,7 +52,7 @@
     this.context.events.record('requestDispatched', { request: request.identity, executor: executor.name })
     const timeout = Math.max(1, Math.min(service.maximumRunMilliseconds, request.deadline - acquiredAt))
     const result = await this.client.send(executor.address, this.createOutgoingRequest(pending), timeout, this.slots.connections(executor.name, acquiredAt), request.signal, mayStart)
-    if (result.kind === 'answer') return this.onResponse(pending, executor, result.answer, startedAt)
+    if (result.kind === 'answer') return this.onResponse(pending, executor, result.response, startedAt)
     return this.onFailure(pending, executor, result, startedAt)
   }
 
--- a/src/links/executorClient.ts
+++ b/src/links/executorClient.ts
@@ -17,7 +17,7 @@
   | { readonly kind: 'notSent', readonly reason: string, readonly unreachable?: boolean }
   | { readonly kind: 'mayHaveRun', readonly reason: string, readonly timedOut: boolean }
 
-export type ExecutorResult = { readonly kind: 'answer', readonly answer: ExecutorResponse } | ExecutorFailure
+export type ExecutorResult = { readonly kind: 'answer', readonly response: ExecutorResponse } | ExecutorFailure
 
 /** Connections to an address that are open, opening or closing. */
 export interface ConnectionCount {
@@ -67,7 +67,7 @@
     const gate = { mayStart, onStart: () => { started = true } }
     try {
       const answer = await connection.request(request, timeoutMilliseconds, AbortSignal.any([signal, timeout.signal]), gate)
-      return { kind: 'answer', answer: { status: answer.statusCode, headers: answer.headers as Record<string, string | string[]>, body: answer.body } }
+      return { kind: 'answer', response: { status: answer.statusCode, headers: answer.headers as Record<string, string | string[]>, body: answer.body } }
     } catch (error) {
       if (!started) return { kind: 'notSent', reason: String(error), unreachable: isConnectFailure(error) }
       return { kind: 'mayHaveRun', reason: String(error), timedOut: timeout.signal.aborted }
--- a/test/fakes/fakeExecutors.ts
+++ b/test/fakes/fakeExecutors.ts
@@ -101,13 +101,13 @@
         executor.arrivals.push({ from: this.self, at: performance.now() })
         const fault = executor.faults.shift()
         if (fault === 'refuse') {
-          settle({ kind: 'answer', answer: { status: 503, headers: { [NOT_RUN_HEADER]: '1' }, body: Readable.from([]) } }, true)
+          settle({ kind: 'answer', response: { status: 503, headers: { [NOT_RUN_HEADER]: '1' }, body: Readable.from([]) } }, true)
           return
         }
         executor.run(this.network, submission, this.self, fault, () => {
           this.network.clock.after(this.network.delayMilliseconds(), () => {
             if (fault === 'loseAnswer') fail('the connection broke', false)
-            else if (!settled) settle({ kind: 'answer', answer: { status: 200, headers: { 'content-type': 'text/plain' }, body: this.body(expectedBody(submission), fault) } }, fault !== 'cutBody')
+            else if (!settled) settle({ kind: 'answer', response: { status: 200, headers: { 'content-type': 'text/plain' }, body: this.body(expectedBody(submission), fault) } }, fault !== 'cutBody')
           })
         })
       })
--- a/test/fuzz/faults.ts
+++ b/test/fuzz/faults.ts
@@ -62,10 +62,10 @@
 function swapBodies (): FuzzOptions['wrapConnections'] {
   let kept: ExecutorResult | undefined
   return withResults(async result => {
-    if (result.kind !== 'answer' || result.answer.status !== 200) return result
+    if (result.kind !== 'answer' || result.response.status !== 200) return result
     const previous = kept
     kept = result
-    return previous?.kind === 'answer' && !previous.answer.body.destroyed ? { ...result, answer: { ...result.answer, body: previous.answer.body } } : result
+    return previous?.kind === 'answer' && !previous.response.body.destroyed ? { ...result, response: { ...result.response, body: previous.response.body } } : result
   })
 }
 
@@ -73,9 +73,9 @@
   return withResults(async result => {
     if (result.kind !== 'answer') return result
     const body = new PassThrough()
-    result.answer.body.pipe(body)
-    result.answer.body.once('error', () => body.end())
-    return { ...result, answer: { ...result.answer, body } }
+    result.response.body.pipe(body)
+    result.response.body.once('error', () => body.end())
+    return { ...result, response: { ...result.response, body } }
   })
 }
 
--- a/test/links/executorClient.test.ts
+++ b/test/links/executorClient.test.ts
@@ -48,7 +48,7 @@
 async function read (result: ExecutorResult): Promise<string> {
   if (result.kind !== 'answer') return result.kind
   let text = ''
-  for await (const chunk of result.answer.body) text += String(chunk)
+  for await (const chunk of result.response.body) text += String(chunk)
   return text
 }
 
