--- a/test/soak/callers.ts
+++ b/test/soak/callers.ts
@@ -1,6 +1,6 @@
 import { delay } from '../../src/base/delay.js'
 import { Random } from '../../src/base/random.js'
-import { HttpCaller, type HttpOutcome } from '../../src/links/httpCaller.js'
+import { HttpCaller, type HttpOutcome } from '../../src/links/httpClient.js'
 import { decodeJob } from '../../platform/jobFormat.js'
 import type { SentRequest } from './soakChecks.js'
 import { QUEUES, type SoakJob, type SoakSite } from './soakSite.js'
