--- a/src/links/httpClient.ts
+++ b/src/links/httpClient.ts
@@ -40,7 +40,7 @@
 }
 
 /** HTTP calls over kept connections, a bounded number for each address. No method rejects. */
-export class HttpCaller extends DisposableObject {
+export class HttpClient extends DisposableObject {
   private readonly connections = new Map<string, Connections>()
 
   constructor (private readonly connectionsPerAddress: number) {
--- a/test/platform/adapter.test.ts
+++ b/test/platform/adapter.test.ts
@@ -4,7 +4,7 @@
 import { after, before, describe, it } from 'node:test'
 import FakeTimers from '@sinonjs/fake-timers'
 import type { ReadOutcome, SnapshotOutcome } from '../../src/cluster/recordLog.js'
-import { HttpCaller } from '../../src/links/httpClient.js'
+import { HttpClient } from '../../src/links/httpClient.js'
 import { decodeJob } from '../../platform/jobFormat.js'
 import { PlatformLogClient } from '../../platform/logClient.js'
 import { decodeConfiguration, decodeWorker } from '../../platform/registry.js'
@@ -16,7 +16,7 @@
 let server: Server
 let address: string
 let answer: Answer = () => {}
-const http = new HttpCaller(4)
+const http = new HttpClient(4)
 
 before(async () => {
   server = createServer((request, response) => {
--- a/test/soak/callers.ts
+++ b/test/soak/callers.ts
@@ -1,6 +1,6 @@
 import { delay } from '../../src/base/delay.js'
 import { Random } from '../../src/base/random.js'
-import { HttpCaller, type HttpOutcome } from '../../src/links/httpClient.js'
+import { HttpClient, type HttpOutcome } from '../../src/links/httpClient.js'
 import { decodeJob } from '../../platform/jobFormat.js'
 import type { SentRequest } from './soakChecks.js'
 import { QUEUES, type SoakJob, type SoakSite } from './soakSite.js'
@@ -27,7 +27,7 @@
 
 /** One caller with kept connections. It stays with an instance until that one fails it. */
 export class Caller {
-  private readonly http = new HttpCaller(1)
+  private readonly http = new HttpClient(1)
   private instance: number
 
   constructor (private readonly site: SoakSite, private readonly random: Random) {
--- a/test/soak/soakSite.ts
+++ b/test/soak/soakSite.ts
@@ -2,7 +2,7 @@
 import { delay } from '../../src/base/delay.js'
 import { TOPICS, type StoredRecord } from '../../src/cluster/recordLog.js'
 import { decodeRecord, encodeRecord, type LeadershipRecord } from '../../src/contracts/clusterRecords.js'
-import { HttpCaller } from '../../src/links/httpClient.js'
+import { HttpClient } from '../../src/links/httpClient.js'
 import { ATTEMPTS, GangMembers, SLOW_CLOCK_RATE, type ClusterView, type SubmittedStepJob } from '../fakes/fakeCluster.js'
 import { FakeWorker } from '../fakes/fakeClusterWorkers.js'
 import { FakeRecordLog } from '../fakes/fakeRecordLog.js'
@@ -92,7 +92,7 @@
 
   /** Waits until every instance is ready for callers; throws if one is not in time. */
   async untilReady (milliseconds: number): Promise<void> {
-    const http = new HttpCaller(1)
+    const http = new HttpClient(1)
     const latest = performance.now() + milliseconds
     for (const { name, readinessAddress } of this.instances) {
       const isReady = async (): Promise<boolean> => {
