--- a/src/links/httpClient.ts
+++ b/src/links/httpClient.ts
@@ -8,7 +8,7 @@
 /** Idle time after which a connection is closed, in milliseconds; longer than the period of the calls that repeat. */
 const IDLE_MILLISECONDS = 15_000
 
-export interface HttpCall {
+export interface HttpRequestOptions {
   readonly method: 'GET' | 'POST' | 'DELETE'
   readonly path: string
   readonly headers?: Record<string, string>
@@ -52,7 +52,7 @@
   }
 
   /** Calls `address` (host:port). An address that cannot be parsed is an outcome, too. */
-  async call (address: string, call: HttpCall): Promise<HttpOutcome> {
+  async call (address: string, call: HttpRequestOptions): Promise<HttpOutcome> {
     if (call.signal?.aborted === true) return { kind: 'notSent', reason: 'aborted' }
     try {
       return await this.callOver(this.connectionsTo(address, call.channel), call)
@@ -61,7 +61,7 @@
     }
   }
 
-  private async callOver (connections: Connections, call: HttpCall): Promise<HttpOutcome> {
+  private async callOver (connections: Connections, call: HttpRequestOptions): Promise<HttpOutcome> {
     const { pool, closedCount } = connections
     if (call.requiresOpenConnection === true && connections.closedCountAtAnswer !== closedCount) return { kind: 'notSent', reason: 'the connection is closed' }
     const controller = new AbortController()
