--- a/src/links/httpClient.ts
+++ b/src/links/httpClient.ts
@@ -52,37 +52,37 @@
   }
 
   /** Calls `address` (host:port). An address that cannot be parsed is an outcome, too. */
-  async call (address: string, call: HttpRequestOptions): Promise<HttpOutcome> {
-    if (call.signal?.aborted === true) return { kind: 'notSent', reason: 'aborted' }
+  async request (address: string, request: HttpRequestOptions): Promise<HttpOutcome> {
+    if (request.signal?.aborted === true) return { kind: 'notSent', reason: 'aborted' }
     try {
-      return await this.callOver(this.connectionsTo(address, call.channel), call)
+      return await this.callOver(this.connectionsTo(address, request.channel), request)
     } catch (error) {
       return { kind: 'notSent', reason: describeError(error) }
     }
   }
 
-  private async callOver (connections: Connections, call: HttpRequestOptions): Promise<HttpOutcome> {
+  private async callOver (connections: Connections, request: HttpRequestOptions): Promise<HttpOutcome> {
     const { pool, closedCount } = connections
-    if (call.requiresOpenConnection === true && connections.closedCountAtAnswer !== closedCount) return { kind: 'notSent', reason: 'the connection is closed' }
+    if (request.requiresOpenConnection === true && connections.closedCountAtAnswer !== closedCount) return { kind: 'notSent', reason: 'the connection is closed' }
     const controller = new AbortController()
     const abort = (): void => controller.abort(new Error('aborted'))
     const onDisconnect = (): void => controller.abort(new Error('the connection was closed'))
     // The pool would send a call that has not gone out yet over the next connection.
-    if (call.requiresOpenConnection === true) pool.once('disconnect', onDisconnect)
-    const timer = setTimeout(() => controller.abort(new Error('timed out')), call.timeoutMilliseconds)
-    call.signal?.addEventListener('abort', abort, { once: true })
+    if (request.requiresOpenConnection === true) pool.once('disconnect', onDisconnect)
+    const timer = setTimeout(() => controller.abort(new Error('timed out')), request.timeoutMilliseconds)
+    request.signal?.addEventListener('abort', abort, { once: true })
     try {
       const answer = await pool.request({
-        method: call.method,
-        path: call.path,
-        headers: call.headers,
-        body: call.body,
+        method: request.method,
+        path: request.path,
+        headers: request.headers,
+        body: request.body,
         signal: controller.signal
       })
       const parts: Buffer[] = []
       for await (const part of answer.body) {
         parts.push(part)
-        if (call.isExtendedByProgress === true) timer.refresh()
+        if (request.isExtendedByProgress === true) timer.refresh()
       }
       if (connections.closedCount === closedCount) connections.closedCountAtAnswer = closedCount
       return { kind: 'answer', status: answer.statusCode, body: Buffer.concat(parts) }
@@ -90,7 +90,7 @@
       return { kind: isConnectFailure(error) ? 'notSent' : 'unknown', reason: describeError(error) }
     } finally {
       clearTimeout(timer)
-      call.signal?.removeEventListener('abort', abort)
+      request.signal?.removeEventListener('abort', abort)
       pool.off('disconnect', onDisconnect)
     }
   }
--- a/test/platform/adapter.test.ts
+++ b/test/platform/adapter.test.ts
@@ -255,12 +255,12 @@
       response.end('{}')
     }
     const call = { method: 'POST', path: '/', channel: 'test', timeoutMilliseconds: 1000 } as const
-    assert.equal((await http.call(address, call)).kind, 'answer')
+    assert.equal((await http.request(address, call)).kind, 'answer')
     server.closeAllConnections()
     // The connection has ended, which is not noticed here yet.
-    assert.notEqual((await http.call(address, { ...call, requiresOpenConnection: true })).kind, 'answer')
+    assert.notEqual((await http.request(address, { ...call, requiresOpenConnection: true })).kind, 'answer')
     assert.equal(calls, 1)
-    assert.equal((await http.call(address, { ...call, requiresOpenConnection: true })).kind, 'notSent')
+    assert.equal((await http.request(address, { ...call, requiresOpenConnection: true })).kind, 'notSent')
   })
 
   it('decodes the workers that the eligibility service names', async () => {
--- a/test/soak/soakSite.ts
+++ b/test/soak/soakSite.ts
@@ -96,7 +96,7 @@
     const latest = performance.now() + milliseconds
     for (const { name, readinessAddress } of this.instances) {
       const isReady = async (): Promise<boolean> => {
-        const outcome = await http.call(readinessAddress, { method: 'GET', path: '/v1/ready', timeoutMilliseconds: milliseconds })
+        const outcome = await http.request(readinessAddress, { method: 'GET', path: '/v1/ready', timeoutMilliseconds: milliseconds })
         return outcome.kind === 'answer' && outcome.status === 200
       }
       while (!await isReady()) {
