--- a/src/entry/forwarder.ts
+++ b/src/entry/forwarder.ts
@@ -1,7 +1,7 @@
 import type { SiteText } from '../contracts/siteText.js'
 import { servingErrorSchema, type ServingError } from '../contracts/verdict.js'
 import type { ExecutorResponse, ExecutorClient } from '../links/executorClient.js'
-import { createPeerProof, isValidPeerProof, PEER_PROOF_HEADER, PROOF_VALID_MILLISECONDS } from '../links/peerProof.js'
+import { createPeerProof, isValidPeerProof, PEER_PROOF_HEADER, PROOF_VALIDITY_MILLISECONDS } from '../links/peerProof.js'
 import type { ListedEntry, Membership } from '../machines/membership.js'
 import { CALLER_HEADERS, endToEndHeaders } from '../requests/headers.js'
 import { errorResult, type ServingResult, type PendingRequest } from './callerRequest.js'
@@ -67,7 +67,7 @@
     }
     if (this.seenUntil.has(request.identity)) return false
     // The peer's clock may be ahead by the whole tolerance, so that its proof stays valid for twice the time.
-    this.seenUntil.set(request.identity, now + 2 * PROOF_VALID_MILLISECONDS)
+    this.seenUntil.set(request.identity, now + 2 * PROOF_VALIDITY_MILLISECONDS)
     return true
   }
 
--- a/src/links/peerProof.ts
+++ b/src/links/peerProof.ts
@@ -4,7 +4,7 @@
 /** Header that carries the proof of an HTTP request between instances. */
 export const PEER_PROOF_HEADER = 'vanillaturn-peer-proof'
 /** Longest difference of clocks plus time on the way; identities are remembered for as long, so that no proof is used twice. */
-export const PROOF_VALID_MILLISECONDS = 30_000
+export const PROOF_VALIDITY_MILLISECONDS = 30_000
 
 /** What a proof is bound to. */
 export interface SignedRequest {
@@ -25,7 +25,7 @@
 export function isValidPeerProof (proof: string, keys: readonly string[], request: SignedRequest, now: number): boolean {
   const dot = proof.indexOf('.')
   const time = Number(proof.slice(0, dot))
-  if (dot < 1 || !Number.isInteger(time) || Math.abs(now - time) > PROOF_VALID_MILLISECONDS) return false
+  if (dot < 1 || !Number.isInteger(time) || Math.abs(now - time) > PROOF_VALIDITY_MILLISECONDS) return false
   return isValidProof(proof.slice(dot + 1), keys.map(key => signature(key, request, time)))
 }
 
--- a/test/requests/idempotencyKeys.test.ts
+++ b/test/requests/idempotencyKeys.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import createHashing from 'xxhash-wasm'
-import { createPeerProof, isValidPeerProof, PROOF_VALID_MILLISECONDS } from '../../src/links/peerProof.js'
+import { createPeerProof, isValidPeerProof, PROOF_VALIDITY_MILLISECONDS } from '../../src/links/peerProof.js'
 import { homeFailureDomain, IdempotencyKeys, type KeyRecord } from '../../src/requests/idempotencyKeys.js'
 
 const WINDOW = 600_000
@@ -95,7 +95,7 @@
     ['another key', !isValidPeerProof(proof, ['key-two'], request, 2000)],
     ['another path', !isValidPeerProof(proof, ['key-one'], { ...request, path: '/q' }, 2000)],
     ['another identity', !isValidPeerProof(proof, ['key-one'], { ...request, identity: 's' }, 2000)],
-    ['an old proof', !isValidPeerProof(proof, ['key-one'], request, 1001 + PROOF_VALID_MILLISECONDS)],
+    ['an old proof', !isValidPeerProof(proof, ['key-one'], request, 1001 + PROOF_VALIDITY_MILLISECONDS)],
     ['a changed time', !isValidPeerProof(proof.replace('1000.', '1001.'), ['key-one'], request, 2000)],
     ['a malformed proof', !isValidPeerProof('nonsense', ['key-one'], request, 2000)]
   ]
