--- a/src/entry/placementTask.ts
+++ b/src/entry/placementTask.ts
@@ -238,7 +238,7 @@
     if (!this.ownership.isOwner()) return
     const throttlePercent = kind === 'throttle' ? decision.percent : undefined
     if (kind === 'throttle') this.context.events.record('taskThrottled', { task, job: jobOfTask(task), worker: worker.name, detail: `${throttlePercent} %` })
-    const outcome = await this.workers.act(worker.address, task, kind, { term: this.term, attempt, throttlePercent, logicalTime: this.context.events.clock.tick() })
+    const outcome = await this.workers.sendAction(worker.address, task, kind, { term: this.term, attempt, throttlePercent, logicalTime: this.context.events.clock.tick() })
     if (outcome.kind !== 'done') this.context.logger.warn('a command to a task did not succeed', { task, worker: worker.name, code: `${kind}: ${outcome.kind}` })
   }
 
--- a/src/links/workerClient.ts
+++ b/src/links/workerClient.ts
@@ -16,7 +16,7 @@
 /** Commands to workers. */
 export abstract class WorkerClient {
   abstract start (address: string, task: string, body: StartTask): Promise<CommandOutcome>
-  abstract act (address: string, task: string, action: TaskActionName, body: TaskAction): Promise<CommandOutcome>
+  abstract sendAction (address: string, task: string, action: TaskActionName, body: TaskAction): Promise<CommandOutcome>
   /** Renews leases and returns the worker's report; rejects when the worker does not answer. */
   abstract renew (address: string, body: RenewLeases): Promise<WorkerReport>
 }
@@ -31,7 +31,7 @@
     return await this.command('PUT', `${address}/tasks/${encodeURIComponent(task)}`, body)
   }
 
-  override async act (address: string, task: string, action: TaskActionName, body: TaskAction): Promise<CommandOutcome> {
+  override async sendAction (address: string, task: string, action: TaskActionName, body: TaskAction): Promise<CommandOutcome> {
     return await this.command('POST', `${address}/tasks/${encodeURIComponent(task)}/${action}`, body)
   }
 
--- a/test/fakes/fakeWorkers.ts
+++ b/test/fakes/fakeWorkers.ts
@@ -123,7 +123,7 @@
     return await this.command(address, worker => worker.start(this.self, task, body))
   }
 
-  override async act (address: string, task: string, action: TaskActionName, body: TaskAction): Promise<CommandOutcome> {
+  override async sendAction (address: string, task: string, action: TaskActionName, body: TaskAction): Promise<CommandOutcome> {
     return await this.command(address, worker => worker.act(task, action, body))
   }
 
