--- a/bench/capacityPlacement.ts
+++ b/bench/capacityPlacement.ts
@@ -71,7 +71,7 @@
     const scheduler = createScheduler(inventory, address)
     const round = async (): Promise<void> => {
       await Promise.all(scheduler.planRenewals(1).map(async plan => {
-        const report = await client.renew(plan.worker.address, { term: 1, leaseMilliseconds: TASK_LEASE_MILLISECONDS, tasks: [...plan.tasks], acknowledged: [...plan.acknowledged], logicalTime: 1 })
+        const report = await client.renewLeases(plan.worker.address, { term: 1, leaseMilliseconds: TASK_LEASE_MILLISECONDS, tasks: [...plan.tasks], acknowledged: [...plan.acknowledged], logicalTime: 1 })
         scheduler.onReport(plan.worker.name, report, 1)
       }))
     }
--- a/src/entry/placementTask.ts
+++ b/src/entry/placementTask.ts
@@ -169,7 +169,7 @@
     const requestedAt = monotonicNow()
     const { term } = this
     try {
-      const report = await this.workers.renew(address, {
+      const report = await this.workers.renewLeases(address, {
         term,
         leaseMilliseconds: TASK_LEASE_MILLISECONDS,
         tasks: [...plan.tasks],
--- a/src/links/workerClient.ts
+++ b/src/links/workerClient.ts
@@ -18,7 +18,7 @@
   abstract start (address: string, task: string, body: StartTask): Promise<CommandOutcome>
   abstract sendAction (address: string, task: string, action: TaskActionName, body: TaskAction): Promise<CommandOutcome>
   /** Renews leases and returns the worker's report; rejects when the worker does not answer. */
-  abstract renew (address: string, body: RenewLeases): Promise<WorkerReport>
+  abstract renewLeases (address: string, body: RenewLeases): Promise<WorkerReport>
 }
 
 /** Commands to workers by HTTP and JSON. */
@@ -35,7 +35,7 @@
     return await this.command('POST', `${address}/tasks/${encodeURIComponent(task)}/${action}`, body)
   }
 
-  override async renew (address: string, body: RenewLeases): Promise<WorkerReport> {
+  override async renewLeases (address: string, body: RenewLeases): Promise<WorkerReport> {
     const answer = await request(`${address}/leases`, { method: 'POST', body: JSON.stringify(body), ...this.options() })
     if (answer.statusCode === 200) return workerReportSchema.parse(await answer.body.json())
     await answer.body.dump()
--- a/test/fakes/fakeWorkers.ts
+++ b/test/fakes/fakeWorkers.ts
@@ -127,7 +127,7 @@
     return await this.command(address, worker => worker.act(task, action, body))
   }
 
-  override async renew (address: string, body: RenewLeases): Promise<WorkerReport> {
+  override async renewLeases (address: string, body: RenewLeases): Promise<WorkerReport> {
     return await this.call(address, worker => worker.renew(body))
   }
 
