--- a/src/links/httpConnection.ts
+++ b/src/links/httpConnection.ts
@@ -1,32 +1,32 @@
 import type { ServerResponse } from 'node:http'
 import type { Socket } from 'node:net'
 
-/** Time that a peer has to read the last answer and to close its side, in milliseconds. */
+/** Time the peer has to read the last response and to close its side of the connection. */
 export const LINGER_TIMEOUT_MILLISECONDS = 2000
 
 const CONNECTION_HEADER = 'connection'
 const RETRY_AFTER_SECONDS = 1
-/** Answer to a request whose head has not arrived whole. */
-const UNREAD_REQUEST_ANSWER = `HTTP/1.1 503 Service Unavailable\r\nconnection: close\r\nretry-after: ${RETRY_AFTER_SECONDS}\r\ncontent-length: 0\r\n\r\n`
+/** Response to a request whose head has arrived only in part. */
+const INCOMPLETE_REQUEST_RESPONSE = `HTTP/1.1 503 Service Unavailable\r\nconnection: close\r\nretry-after: ${RETRY_AFTER_SECONDS}\r\ncontent-length: 0\r\n\r\n`
 
-/** One connection of an HTTP server. It closes without a reset: bytes that are unread when a socket closes would make the peer discard answers. */
+/** One connection of an HTTP server. It closes without a TCP reset: closing a socket with unread bytes would reset it, and the peer would discard responses. */
 export class HttpConnection {
-  /** Requests that have been read and not answered to their end, in order of arrival. */
+  /** Responses that are not complete yet, in the order of their requests. */
   private readonly responses: ServerResponse[] = []
   private bytesReadWhenIdle = 0
   private isClosing = false
 
   constructor (private readonly socket: Socket) {
-    // Called by node:http after an answer with `connection: close`.
+    // node:http calls this after a response with `connection: close`.
     socket.destroySoon = () => { this.close() }
   }
 
-  /** Number of requests that have been read and not answered to their end. */
+  /** Number of requests whose response is not complete yet. */
   get pendingRequests (): number {
     return this.responses.length
   }
 
-  /** Takes a request, unless an answer before it has announced the end of the connection; such a request must not be processed. */
+  /** Adds the response of a new request. Returns false if the connection is closing or an earlier response has announced that it closes; the request must not be processed then. */
   add (response: ServerResponse): boolean {
     if (this.isClosing || this.responses.some(announcesClose)) return false
     this.responses.push(response)
@@ -37,7 +37,7 @@
     return true
   }
 
-  /** Lets the answer to the last request read so far close the connection. */
+  /** Makes the response to the latest request close the connection. */
   closeAfterLastResponse (): void {
     for (const [index, response] of this.responses.entries()) {
       if (response.headersSent) continue
@@ -46,24 +46,24 @@
     }
   }
 
-  /** Closes the connection if no request is being read or answered. */
+  /** Closes the connection if no request is being read or processed. */
   closeIfIdle (): void {
     if (this.responses.length === 0 && this.socket.bytesRead === this.bytesReadWhenIdle) this.close()
   }
 
-  /** Closes the connection unless a request is being answered. A request whose head has not arrived whole is told to come back. */
+  /** Closes the connection unless a request is being processed. A request whose head has arrived only in part gets a 503 response with `retry-after`. */
   closeUnlessResponding (): void {
     if (this.responses.length > 0 || this.isClosing) return
-    if (this.socket.bytesRead !== this.bytesReadWhenIdle) this.socket.write(UNREAD_REQUEST_ANSWER)
+    if (this.socket.bytesRead !== this.bytesReadWhenIdle) this.socket.write(INCOMPLETE_REQUEST_RESPONSE)
     this.close()
   }
 
-  /** Closes the own side, discards what still arrives, and ends when the peer has closed its side. */
+  /** Half-closes the connection and discards incoming data until the peer closes its side. */
   close (): void {
     if (this.isClosing) return
     this.isClosing = true
     this.socket.end()
-    // The body of a request that was answered before it was read pauses the socket.
+    // If a response is sent before the body of its request is read, the unread body pauses the socket.
     this.socket.on('pause', () => { this.socket.resume() })
     this.socket.resume()
     const timer = setTimeout(() => { this.socket.destroy() }, LINGER_TIMEOUT_MILLISECONDS)
--- a/src/links/httpServer.ts
+++ b/src/links/httpServer.ts
@@ -1,26 +1,26 @@
 import { createServer, type IncomingMessage, type RequestListener, type Server, type ServerResponse } from 'node:http'
 import { Server as SocketServer, type AddressInfo, type Socket } from 'node:net'
-import { setImmediate as nextTurn } from 'node:timers/promises'
+import { setImmediate as nextIteration } from 'node:timers/promises'
 import { delay } from '../base/delay.js'
 import { DisposableObject, toDisposable } from '../base/disposable.js'
 import { HttpConnection, LINGER_TIMEOUT_MILLISECONDS } from './httpConnection.js'
 
-/** Time without a new connection after which listening ends, in milliseconds; callers that connect anew after an answer do so sooner. */
-const QUIET_MILLISECONDS = 20
-/** Longest wait for such a time, in milliseconds. */
-const SETTLE_MILLISECONDS = 200
-/** Longest time in which connections that wait to be accepted are taken before listening ends, in milliseconds. */
-const BACKLOG_MILLISECONDS = 2000
+/** Interval without a new connection after which the server stops listening; a client that reconnects after a response does so sooner. */
+const ACCEPT_QUIET_MILLISECONDS = 20
+/** Longest wait for such an interval. */
+const ACCEPT_QUIET_TIMEOUT_MILLISECONDS = 200
+/** Longest time spent on accepting the backlog of connections before the server stops listening. */
+const BACKLOG_TIMEOUT_MILLISECONDS = 2000
 
-/** HTTP server whose planned stop cuts off no request. */
+/** HTTP server with a graceful shutdown that aborts no request in flight. */
 export class HttpServer extends DisposableObject {
   private readonly server: Server
   private readonly connections = new Map<Socket, HttpConnection>()
-  /** Aborts once listening and all connections have ended. */
-  private readonly ended = new AbortController()
-  /** Requests that have arrived since the end of listening began, until the drain. */
-  private readonly held: Array<() => void> = []
-  private isHolding = false
+  /** Aborted once the server has stopped listening and all connections are closed. */
+  private readonly allClosed = new AbortController()
+  /** Handlers of the requests that have arrived since `stopListening` was called; `drain` runs them. */
+  private readonly deferredRequests: Array<() => void> = []
+  private isDeferring = false
   private isClosing = false
   private acceptedConnections = 0
 
@@ -28,21 +28,21 @@
     super()
     this.server = createServer((request, response) => { this.onRequest(request, response) })
     this.server.on('connection', socket => { this.onConnection(socket) })
-    // With a listener, node:http leaves it to the listener to close a connection that was idle for too long.
+    // If 'timeout' has a listener, node:http doesn't close idle connections itself.
     this.server.on('timeout', socket => { this.connections.get(socket)?.close() })
     this.register(toDisposable(() => {
       this.server.closeAllConnections()
       this.server.close()
-      this.ended.abort()
+      this.allClosed.abort()
     }))
   }
 
-  /** Whether new connections are taken. */
+  /** Whether the server accepts new connections. */
   get isListening (): boolean {
     return this.server.listening
   }
 
-  /** Listens; resolves with the port, rejects if the address is taken. */
+  /** Starts listening. Resolves with the port; rejects if the address is in use. */
   async listen (host: string, port: number): Promise<number> {
     await new Promise<void>((resolve, reject) => {
       this.server.once('error', reject)
@@ -56,63 +56,63 @@
     return address.port
   }
 
-  /** From now on the last answer of each connection closes it. */
+  /** Makes each connection close after its last pending response. */
   closeAfterResponses (): void {
     this.isClosing = true
     for (const connection of this.connections.values()) connection.closeAfterLastResponse()
   }
 
   /**
-   * Accepts the connections that the kernel has established, which would be reset, and stops listening. The last answer of
-   * each connection closes it. Requests that arrive meanwhile are handled once `drain` is called, so that turns of the event
-   * loop are short and each caller connects anew once at most. `deadline` is the one of the drain.
+   * Accepts the connections in the kernel's backlog, which would otherwise be reset, and stops listening. Each connection
+   * closes after its last response. Requests that arrive meanwhile are handled once `drain` is called: this keeps iterations
+   * of the event loop short, and each client reconnects at most once. `deadline` is the deadline of `drain`.
    */
   async stopListening (deadline: number): Promise<void> {
-    if (!this.server.listening || this.isHolding) return
-    this.isHolding = true
+    if (!this.server.listening || this.isDeferring) return
+    this.isDeferring = true
     this.closeAfterResponses()
     const startedAt = performance.now()
-    const latest = Math.min(deadline - LINGER_TIMEOUT_MILLISECONDS, startedAt + BACKLOG_MILLISECONDS)
-    await this.untilNoneAccepted(Math.min(latest, startedAt + SETTLE_MILLISECONDS), async () => { await delay(QUIET_MILLISECONDS) })
-    // One connection is accepted in a turn of the event loop.
-    await nextTurn()
-    await this.untilNoneAccepted(latest, async () => { await nextTurn() })
-    // The method of node:http would also destroy idle connections, with requests that have arrived on them.
+    const latest = Math.min(deadline - LINGER_TIMEOUT_MILLISECONDS, startedAt + BACKLOG_TIMEOUT_MILLISECONDS)
+    await this.waitForAcceptPause(Math.min(latest, startedAt + ACCEPT_QUIET_TIMEOUT_MILLISECONDS), async () => { await delay(ACCEPT_QUIET_MILLISECONDS) })
+    // The event loop accepts one connection per iteration.
+    await nextIteration()
+    await this.waitForAcceptPause(latest, async () => { await nextIteration() })
+    // `close` of node:http also destroys idle connections, and requests that have already arrived on them.
     SocketServer.prototype.close.call(this.server)
   }
 
   /**
-   * Stops listening, answers every request that has been read or is being read, and ends each connection after its last answer.
-   * Idle connections stay open for the keep-alive time that callers have been told, so that a request on its way is answered.
-   * Resolves once all connections have ended, at the latest at `deadline` (monotonic milliseconds), with the number of requests cut off.
+   * Stops listening, responds to every request that has been read or is being read, and closes each connection after its last
+   * response. Idle connections stay open for the advertised keep-alive time, so that a request in transit still gets a response.
+   * Resolves once all connections are closed, at the latest at `deadline` (monotonic milliseconds), with the number of aborted requests.
    */
   async drain (deadline: number): Promise<number> {
     await this.stopListening(deadline)
-    this.isHolding = false
-    for (const handle of this.held.splice(0)) handle()
+    this.isDeferring = false
+    for (const handle of this.deferredRequests.splice(0)) handle()
     const closeAt = deadline - LINGER_TIMEOUT_MILLISECONDS
-    await this.untilEnded(Math.min(closeAt, performance.now() + this.server.keepAliveTimeout))
+    await this.waitUntilClosed(Math.min(closeAt, performance.now() + this.server.keepAliveTimeout))
     for (const connection of this.connections.values()) connection.closeIfIdle()
-    await this.untilEnded(closeAt)
+    await this.waitUntilClosed(closeAt)
     for (const connection of this.connections.values()) connection.closeUnlessResponding()
-    await this.untilEnded(deadline)
-    let cutOff = 0
-    for (const connection of this.connections.values()) cutOff += connection.pendingRequests
+    await this.waitUntilClosed(deadline)
+    let abortedRequests = 0
+    for (const connection of this.connections.values()) abortedRequests += connection.pendingRequests
     this.dispose()
-    return cutOff
+    return abortedRequests
   }
 
-  /** Resolves after a pause in which no connection was accepted, or at `latest`. */
-  private async untilNoneAccepted (latest: number, pause: () => Promise<void>): Promise<void> {
+  /** Resolves after a pause during which no connection was accepted, or at `latest`. */
+  private async waitForAcceptPause (latest: number, pause: () => Promise<void>): Promise<void> {
     for (let accepted = -1; accepted !== this.acceptedConnections && performance.now() < latest;) {
       accepted = this.acceptedConnections
       await pause()
     }
   }
 
-  private async untilEnded (time: number): Promise<void> {
+  private async waitUntilClosed (time: number): Promise<void> {
     const remaining = time - performance.now()
-    if (this.connections.size > 0 && remaining > 0) await delay(remaining, this.ended.signal)
+    if (this.connections.size > 0 && remaining > 0) await delay(remaining, this.allClosed.signal)
   }
 
   private onConnection (socket: Socket): void {
@@ -120,7 +120,7 @@
     this.connections.set(socket, new HttpConnection(socket))
     socket.once('close', () => {
       this.connections.delete(socket)
-      if (!this.server.listening && this.connections.size === 0) this.ended.abort()
+      if (!this.server.listening && this.connections.size === 0) this.allClosed.abort()
     })
   }
 
@@ -131,12 +131,12 @@
       return
     }
     if (this.isClosing) connection.closeAfterLastResponse()
-    if (this.isHolding) this.held.push(() => { this.handle(request, response) })
+    if (this.isDeferring) this.deferredRequests.push(() => { this.handleDeferred(request, response) })
     else this.handler(request, response)
   }
 
-  /** Handles a request that was held back, unless its caller has gone. */
-  private handle (request: IncomingMessage, response: ServerResponse): void {
+  /** Handles a deferred request unless its client has disconnected. */
+  private handleDeferred (request: IncomingMessage, response: ServerResponse): void {
     if (!response.destroyed) this.handler(request, response)
   }
 }
