--- a/src/links/clusterLink.ts
+++ b/src/links/clusterLink.ts
@@ -6,36 +6,35 @@
 import type { SocketAddress } from '../contracts/clusterSettings.js'
 import { clusterMessageSchema, type ClusterMessage, type ClusterRequest, type ClusterReply } from '../contracts/clusterMessages.js'
 
-/** Period of pings in milliseconds, and silence after which a link counts as dead. */
-const PING_PERIOD_MILLISECONDS = 500
-const SILENCE_MILLISECONDS = 1500
-/** Time within which a link must open, in milliseconds. */
+const PING_INTERVAL_MILLISECONDS = 500
+/** Time without any frame from the peer after which the link is closed. */
+const HEARTBEAT_TIMEOUT_MILLISECONDS = 1500
 const OPEN_TIMEOUT_MILLISECONDS = 600
-/** Largest frame in bytes; the largest message names a hundred workers. */
+/** Largest frame; the largest message lists a hundred workers. */
 const MAXIMUM_FRAME_BYTES = 256 * 1024
 
 const packer = new Packr({ useRecords: false })
 
-/** One link between two instances. Questions may be asked in both directions. */
+/** WebSocket link between two cluster instances. Both sides may send requests. */
 export class ClusterLink extends DisposableObject {
   private readonly pending = new Map<number, (reply: ClusterReply | undefined) => void>()
-  private nextIdentifier = 0
-  private heardAt: number
+  private nextRequestId = 0
+  private lastReceivedAt: number
   private readonly didReceive = new Emitter<ClusterMessage>()
   private readonly didClose = new Emitter<{ readonly byPeer: boolean }>()
-  /** Messages that are no replies. */
+  /** Fires for each message that is not a reply. */
   readonly onDidReceive: Event<ClusterMessage> = this.didReceive.event
-  /** The link has closed; `byPeer` says that the peer's host closed the connection, in contrast to silence. */
+  /** Fires when the link has closed. `byPeer` is true if the peer's host closed the connection, false after a heartbeat timeout or a malformed frame. */
   readonly onDidClose: Event<{ readonly byPeer: boolean }> = this.didClose.event
 
   constructor (private readonly socket: WebSocket, private readonly logger: Logger, private readonly now: () => number) {
     super()
-    this.heardAt = now()
+    this.lastReceivedAt = now()
     this.register(toDisposable(() => socket.terminate()))
-    this.registerInterval(() => this.checkSilence(), PING_PERIOD_MILLISECONDS)
+    this.registerInterval(() => this.checkHeartbeat(), PING_INTERVAL_MILLISECONDS)
     socket.on('message', data => this.onMessage(data as Buffer))
-    socket.on('pong', () => this.onHeard())
-    socket.on('ping', () => this.onHeard())
+    socket.on('pong', () => this.onActivity())
+    socket.on('ping', () => this.onActivity())
     socket.on('error', error => logger.debug('link error', { reason: describeError(error) }))
     socket.on('close', () => this.close(true))
   }
@@ -44,10 +43,10 @@
     if (this.socket.readyState === WebSocket.OPEN) this.socket.send(packer.pack(message))
   }
 
-  /** Asks the peer; undefined if it does not answer in time or the link closes. */
-  async sendRequest (question: ClusterRequest, timeoutMilliseconds: number): Promise<ClusterReply | undefined> {
+  /** Sends a request and resolves with the reply, or with undefined if there is no reply in time or the link closes. */
+  async sendRequest (request: ClusterRequest, timeoutMilliseconds: number): Promise<ClusterReply | undefined> {
     if (this.isDisposed) return undefined
-    const id = this.nextIdentifier++
+    const id = this.nextRequestId++
     return await new Promise(resolve => {
       const timer = setTimeout(() => finish(undefined), timeoutMilliseconds)
       const finish = (reply: ClusterReply | undefined): void => {
@@ -56,21 +55,21 @@
         resolve(reply)
       }
       this.pending.set(id, finish)
-      this.send({ ...question, id } as ClusterMessage)
+      this.send({ ...request, id } as ClusterMessage)
     })
   }
 
-  private onHeard (): void {
-    this.heardAt = this.now()
+  private onActivity (): void {
+    this.lastReceivedAt = this.now()
   }
 
   private onMessage (data: Buffer): void {
-    this.onHeard()
+    this.onActivity()
     let message: ClusterMessage
     try {
       message = clusterMessageSchema.parse(packer.unpack(data))
     } catch (error) {
-      this.logger.warn('malformed frame on a link; the link is closed', { reason: describeError(error) })
+      this.logger.warn('closing a link after a malformed frame', { reason: describeError(error) })
       this.close(false)
       return
     }
@@ -78,8 +77,8 @@
     else this.didReceive.fire(message)
   }
 
-  private checkSilence (): void {
-    if (this.now() - this.heardAt > SILENCE_MILLISECONDS) {
+  private checkHeartbeat (): void {
+    if (this.now() - this.lastReceivedAt > HEARTBEAT_TIMEOUT_MILLISECONDS) {
       this.close(false)
       return
     }
@@ -109,7 +108,7 @@
     }))
   }
 
-  /** Listens; rejects if the address is taken. */
+  /** Starts listening. Resolves with the port; rejects if the address is in use. */
   async listen (address: SocketAddress): Promise<number> {
     const server = new WebSocketServer({ host: address.host, port: address.port, maxPayload: MAXIMUM_FRAME_BYTES, perMessageDeflate: false })
     this.server = server
@@ -130,7 +129,7 @@
   }
 }
 
-/** Opens a link; undefined if it cannot be opened in time. */
+/** Opens a link. Resolves with 'refused' if the peer's host refuses the connection, and with 'silent' on any other failure, such as a timeout. */
 export async function openClusterLink (address: string, logger: Logger, now: () => number): Promise<ClusterLink | 'refused' | 'silent'> {
   return await new Promise(resolve => {
     const socket = new WebSocket(`ws://${address}`, { handshakeTimeout: OPEN_TIMEOUT_MILLISECONDS, maxPayload: MAXIMUM_FRAME_BYTES, perMessageDeflate: false })
@@ -141,7 +140,7 @@
     socket.once('error', onError)
     socket.once('open', () => {
       socket.off('error', onError)
-      // The peer's first message may have come with the answer to the handshake; it waits until the opener listens.
+      // The peer's first message may arrive together with the handshake response; pausing delays it until the caller has subscribed.
       socket.pause()
       setImmediate(() => socket.resume())
       resolve(new ClusterLink(socket, logger, now))
--- a/src/links/handshake.ts
+++ b/src/links/handshake.ts
@@ -13,18 +13,18 @@
   return randomBytes(NONCE_BYTES).toString('base64')
 }
 
-/** Proof that the sender holds `key`, bound to its role, both nonces and both identities. */
+/** Returns an HMAC that proves possession of `key`, bound to the sender's role, both nonces and both identities. */
 export function createProof (key: string, role: 'dialer' | 'acceptor', dialerNonce: string, acceptorNonce: string, dialer: PeerIdentity, acceptor: PeerIdentity): string {
-  const statement = JSON.stringify([role, dialerNonce, acceptorNonce, identityFields(dialer), identityFields(acceptor)])
-  return createHmac('sha256', key).update(statement).digest('base64')
+  const payload = JSON.stringify([role, dialerNonce, acceptorNonce, identityFields(dialer), identityFields(acceptor)])
+  return createHmac('sha256', key).update(payload).digest('base64')
 }
 
-/** Whether the proof was made with one of the keys. */
+/** Returns whether the proof equals one of the candidates. Each comparison takes constant time. */
 export function isValidProof (proof: string, candidates: readonly string[]): boolean {
-  const given = Buffer.from(proof)
+  const actual = Buffer.from(proof)
   return candidates.some(candidate => {
     const expected = Buffer.from(candidate)
-    return expected.length === given.length && timingSafeEqual(expected, given)
+    return expected.length === actual.length && timingSafeEqual(expected, actual)
   })
 }
 
--- a/src/links/linkHub.ts
+++ b/src/links/linkHub.ts
@@ -13,21 +13,21 @@
   readonly message: LinkMessage
 }
 
-/** Messages between entry instances. */
+/** Exchanges messages with other entry instances. */
 export abstract class LinkTransport extends DisposableObject {
   abstract readonly onDidReceive: Event<ReceivedMessage>
   abstract readonly onDidOpen: Event<PeerIdentity>
   abstract readonly onDidClose: Event<PeerIdentity>
-  /** Starts listening; resolves with the port, rejects if the address is taken. */
+  /** Starts listening. Resolves with the port; rejects if the address is in use. */
   abstract listen (host: string, port: number): Promise<number>
-  /** Bytes sent and received so far. */
+  /** Total number of bytes sent and received. */
   abstract readonly bytesExchanged: number
-  /** Malformed frames received so far. */
+  /** Total number of malformed frames received. */
   abstract readonly malformedFrames: number
   abstract peers (): readonly PeerIdentity[]
   /** Sends to a peer by instance name. Returns false if there is no open link to it. */
   abstract send (instance: string, message: LinkMessage): boolean
-  /** Opens a link to a peer unless there is one. */
+  /** Opens a link to a peer unless one exists. */
   abstract connect (instance: string, address: string): void
 }
 
@@ -49,7 +49,7 @@
   private readonly unpacker = new Unpackr({ useRecords: false })
   private server: WebSocketServer | undefined
   private malformedFrameCount = 0
-  private bytes = 0
+  private byteCount = 0
   private readonly didReceive = new Emitter<ReceivedMessage>()
   private readonly didOpen = new Emitter<PeerIdentity>()
   private readonly didClose = new Emitter<PeerIdentity>()
@@ -69,7 +69,7 @@
   }
 
   override get bytesExchanged (): number {
-    return this.bytes
+    return this.byteCount
   }
 
   override get malformedFrames (): number {
@@ -79,7 +79,7 @@
   override async listen (host: string, port: number): Promise<number> {
     const server = new WebSocketServer({ host, port, maxPayload: MAXIMUM_FRAME_BYTES, perMessageDeflate: false })
     this.server = server
-    server.on('connection', socket => this.acceptSocket(socket))
+    server.on('connection', socket => this.onConnection(socket))
     await new Promise<void>((resolve, reject) => {
       server.once('listening', resolve)
       server.once('error', reject)
@@ -107,43 +107,43 @@
     if (this.isDisposed || this.links.has(instance) || this.dialing.has(instance) || instance === this.self.instance) return
     this.dialing.add(instance)
     const socket = new WebSocket(address, { maxPayload: MAXIMUM_FRAME_BYTES, perMessageDeflate: false, handshakeTimeout: HANDSHAKE_TIMEOUT_MILLISECONDS })
-    this.adopt(socket)
+    this.track(socket)
     const nonce = createNonce()
     socket.once('open', () => this.transmit(socket, { type: 'hello', ...this.self, nonce }))
     socket.once('close', () => this.dialing.delete(instance))
     this.awaitHandshake(socket, 'challenge', challenge => {
-      const peer = identityOf(challenge)
+      const peer = toPeerIdentity(challenge)
       const candidates = this.keys.map(key => createProof(key, 'acceptor', nonce, challenge.nonce, this.self, peer))
       if (!isValidProof(challenge.proof, candidates) || peer.instance !== instance) {
-        this.refuse(socket, instance)
+        this.reject(socket, instance)
         return
       }
       const index = candidates.indexOf(challenge.proof)
       this.transmit(socket, { type: 'proof', proof: createProof(this.keys[index] as string, 'dialer', nonce, challenge.nonce, this.self, peer) })
-      this.open(socket, peer)
+      this.openLink(socket, peer)
     })
   }
 
-  private acceptSocket (socket: WebSocket): void {
-    this.adopt(socket)
+  private onConnection (socket: WebSocket): void {
+    this.track(socket)
     this.awaitHandshake(socket, 'hello', hello => {
-      const peer = identityOf(hello)
+      const peer = toPeerIdentity(hello)
       if (peer.instance === this.self.instance) {
-        this.refuse(socket, peer.instance)
+        this.reject(socket, peer.instance)
         return
       }
       const nonce = createNonce()
       const proof = createProof(this.keys[0] as string, 'acceptor', hello.nonce, nonce, peer, this.self)
       this.transmit(socket, { type: 'challenge', ...this.self, nonce, proof })
-      this.awaitHandshake(socket, 'proof', answer => {
+      this.awaitHandshake(socket, 'proof', message => {
         const candidates = this.keys.map(key => createProof(key, 'dialer', hello.nonce, nonce, peer, this.self))
-        if (isValidProof(answer.proof, candidates)) this.open(socket, peer)
-        else this.refuse(socket, peer.instance)
+        if (isValidProof(message.proof, candidates)) this.openLink(socket, peer)
+        else this.reject(socket, peer.instance)
       })
     })
   }
 
-  private adopt (socket: WebSocket): void {
+  private track (socket: WebSocket): void {
     this.sockets.add(socket)
     const timer = setTimeout(() => socket.terminate(), HANDSHAKE_TIMEOUT_MILLISECONDS)
     socket.once('handshakeDone', () => clearTimeout(timer))
@@ -157,7 +157,7 @@
     })
   }
 
-  private awaitHandshake<Type extends HandshakeMessage['type']> (socket: WebSocket, type: Type, proceed: (message: Extract<HandshakeMessage, { type: Type }>) => void): void {
+  private awaitHandshake<Type extends HandshakeMessage['type']> (socket: WebSocket, type: Type, onMessage: (message: Extract<HandshakeMessage, { type: Type }>) => void): void {
     socket.once('message', data => {
       const parsed = handshakeSchema.safeParse(this.decode(data as Buffer))
       if (!parsed.success || parsed.data.type !== type) {
@@ -165,16 +165,16 @@
         socket.terminate()
         return
       }
-      proceed(parsed.data as Extract<HandshakeMessage, { type: Type }>)
+      onMessage(parsed.data as Extract<HandshakeMessage, { type: Type }>)
     })
   }
 
-  private refuse (socket: WebSocket, instance: string): void {
-    this.logger.warn('refused a link: the peer did not prove a valid key or claims the name of this instance', { peer: instance })
+  private reject (socket: WebSocket, instance: string): void {
+    this.logger.warn('rejected a link: the peer did not prove a valid key, or claims the name of this instance', { peer: instance })
     socket.terminate()
   }
 
-  private open (socket: WebSocket, peer: PeerIdentity): void {
+  private openLink (socket: WebSocket, peer: PeerIdentity): void {
     const previous = this.links.get(peer.instance)
     socket.emit('handshakeDone')
     this.dialing.delete(peer.instance)
@@ -190,7 +190,7 @@
   }
 
   private receive (socket: WebSocket, peer: PeerIdentity, data: Buffer): void {
-    this.bytes += data.length
+    this.byteCount += data.length
     const parsed = linkMessageSchema.safeParse(this.decode(data))
     if (!parsed.success) {
       this.malformedFrameCount += 1
@@ -211,11 +211,11 @@
 
   private transmit (socket: WebSocket, message: LinkMessage | HandshakeMessage): void {
     const frame = this.packer.pack(message)
-    this.bytes += frame.length
+    this.byteCount += frame.length
     socket.send(frame)
   }
 }
 
-function identityOf (message: PeerIdentity): PeerIdentity {
+function toPeerIdentity (message: PeerIdentity): PeerIdentity {
   return { instance: message.instance, incarnation: message.incarnation, failureDomain: message.failureDomain }
 }
