--- a/src/links/instanceList.ts
+++ b/src/links/instanceList.ts
@@ -1,26 +1,26 @@
 import { request, type Agent } from 'undici'
 import { instancesAnswerSchema, type ListedInstance } from '../contracts/platformProtocol.js'
 
-const CALL_TIMEOUT_MILLISECONDS = 3000
+const REQUEST_TIMEOUT_MILLISECONDS = 3000
 
-/** The platform's lagging list of live and leaving instances. */
+/** The platform's list of live and leaving instances, which lags behind the actual state. */
 export abstract class InstanceList {
-  /** Fetches the list; rejects when the platform is away. */
+  /** Fetches the list; rejects if the platform is unavailable. */
   abstract fetch (): Promise<ListedInstance[]>
 }
 
-/** The list by HTTP and JSON. */
+/** Fetches the list over HTTP as JSON. */
 export class HttpInstanceList extends InstanceList {
   constructor (private readonly address: string, private readonly agent: Agent) {
     super()
   }
 
   override async fetch (): Promise<ListedInstance[]> {
-    const answer = await request(`${this.address}/instances`, { dispatcher: this.agent, headersTimeout: CALL_TIMEOUT_MILLISECONDS, bodyTimeout: CALL_TIMEOUT_MILLISECONDS })
-    if (answer.statusCode !== 200) {
-      await answer.body.dump()
-      throw new Error(`the instance list answered with status ${answer.statusCode}`)
+    const response = await request(`${this.address}/instances`, { dispatcher: this.agent, headersTimeout: REQUEST_TIMEOUT_MILLISECONDS, bodyTimeout: REQUEST_TIMEOUT_MILLISECONDS })
+    if (response.statusCode !== 200) {
+      await response.body.dump()
+      throw new Error(`the instance list responded with status ${response.statusCode}`)
     }
-    return instancesAnswerSchema.parse(await answer.body.json()).instances
+    return instancesAnswerSchema.parse(await response.body.json()).instances
   }
 }
--- a/src/links/logAppender.ts
+++ b/src/links/logAppender.ts
@@ -9,21 +9,21 @@
 
 const BACKOFF_BASE_MILLISECONDS = 50
 const BACKOFF_MAXIMUM_MILLISECONDS = 1000
-const MAXIMUM_BATCH = 200
+const MAXIMUM_BATCH_RECORDS = 200
 
-/** What became of a record: in the log, certainly not in the log, or possibly. */
+/** Outcome of an append: the record is in the log, is not in the log, or may be in the log. */
 export type AppendOutcome = 'appended' | 'notAppended' | 'unknown'
 
 interface PendingRecord {
   readonly envelope: RecordEnvelope
   readonly settle: (outcome: AppendOutcome) => void
-  /** Whether an attempt is under way or has ended without an answer. */
+  /** Whether an append is in flight or has ended with an unknown outcome. */
   mayBeInLog: boolean
 }
 
 /**
- * Appends records to one stream, one batch at a time, and repeats a batch until it is confirmed.
- * Each record keeps its identity over all repetitions, so that readers count it once.
+ * Appends records to one stream, one batch at a time, and retries each batch until it is confirmed.
+ * A record keeps its identity across retries, so that readers can deduplicate it.
  */
 export class LogAppender extends DisposableObject {
   private pending: PendingRecord[] = []
@@ -43,22 +43,22 @@
     this.register(toDisposable(() => this.stopping.abort()))
   }
 
-  /** Number of appends sent so far, for the append budget. */
+  /** Number of append requests sent, counted against the append budget. */
   get appendsSent (): number {
     return this.appendCount
   }
 
-  /** Appends a record. Resolves with whether it is known to be in the log; otherwise it may take effect nevertheless. */
+  /** Appends a record. Resolves with true if the log has confirmed it; after false the append may still take effect. */
   async append (body: RecordBody, timeoutMilliseconds: number, identity: string = randomUUID()): Promise<boolean> {
     return await this.appendWithOutcome(body, timeoutMilliseconds, identity) === 'appended'
   }
 
-  /** Appends a record and resolves with what became of it, after `timeoutMilliseconds` at the latest. A record that resolved with 'notAppended' is not sent again. */
+  /** Appends a record and resolves with the outcome, after `timeoutMilliseconds` at the latest. After 'notAppended' the record is not sent again. */
   async appendWithOutcome (body: RecordBody, timeoutMilliseconds: number, identity: string = randomUUID()): Promise<AppendOutcome> {
     if (this.stopping.signal.aborted) return 'notAppended'
     const envelope: RecordEnvelope = { identity, schemaVersion: RECORD_SCHEMA_VERSION, writer: this.writer, logicalTime: this.clock.tick(), body }
     return await new Promise<AppendOutcome>(resolve => {
-      const timer = setTimeout(() => this.giveUp(record), timeoutMilliseconds)
+      const timer = setTimeout(() => this.abandon(record), timeoutMilliseconds)
       const settle = (outcome: AppendOutcome): void => {
         clearTimeout(timer)
         resolve(outcome)
@@ -69,29 +69,29 @@
     })
   }
 
-  /** Notes that a record was read from the stream, which confirms it although the answer to its append may be lost. */
+  /** Confirms a pending record that was read back from the stream; the response to its append may have been lost. */
   confirm (identity: string): void {
     const confirmed = this.pending.filter(record => record.envelope.identity === identity)
     if (confirmed.length > 0) this.settleAll(confirmed)
   }
 
   /**
-   * Sends a record once, past the queue, for records that lose their use by waiting. Resolves with whether the log has
-   * confirmed it within `timeoutMilliseconds`; it may take effect nevertheless.
+   * Sends a record once, bypassing the queue, for records that are useless when late. Resolves with true if the log confirms
+   * it within `timeoutMilliseconds`; after false the append may still take effect.
    */
   async appendWithoutRetry (body: RecordBody, timeoutMilliseconds: number, identity: string = randomUUID()): Promise<boolean> {
     if (this.stopping.signal.aborted) return false
     const envelope: RecordEnvelope = { identity, schemaVersion: RECORD_SCHEMA_VERSION, writer: this.writer, logicalTime: this.clock.tick(), body }
-    const ending = new AbortController()
-    const timer = setTimeout(() => ending.abort(), timeoutMilliseconds)
-    const stop = (): void => ending.abort()
+    const abortController = new AbortController()
+    const timer = setTimeout(() => abortController.abort(), timeoutMilliseconds)
+    const stop = (): void => abortController.abort()
     this.stopping.signal.addEventListener('abort', stop)
     try {
       this.appendCount += 1
-      await this.log.append(this.stream, [envelope], ending.signal)
+      await this.log.append(this.stream, [envelope], abortController.signal)
       return true
     } catch (error) {
-      this.logger.debug('an append that is not repeated failed', { stream: this.stream, reason: describeError(error) })
+      this.logger.debug('an append without retry failed', { stream: this.stream, reason: describeError(error) })
       return false
     } finally {
       clearTimeout(timer)
@@ -103,7 +103,7 @@
     this.sending = true
     let failures = 0
     while (this.pending.length > 0 && !this.stopping.signal.aborted) {
-      const batch = this.pending.slice(0, MAXIMUM_BATCH)
+      const batch = this.pending.slice(0, MAXIMUM_BATCH_RECORDS)
       const uncertainBefore = new Set(batch.filter(record => record.mayBeInLog))
       for (const record of batch) record.mayBeInLog = true
       try {
@@ -119,7 +119,7 @@
       }
     }
     this.sending = false
-    for (const record of this.pending) this.giveUp(record)
+    for (const record of this.pending) this.abandon(record)
   }
 
   private settleAll (batch: readonly PendingRecord[]): void {
@@ -128,7 +128,7 @@
     for (const record of batch) record.settle('appended')
   }
 
-  private giveUp (record: PendingRecord): void {
+  private abandon (record: PendingRecord): void {
     this.pending = this.pending.filter(candidate => candidate !== record)
     record.settle(record.mayBeInLog ? 'unknown' : 'notAppended')
   }
--- a/src/links/logFollower.ts
+++ b/src/links/logFollower.ts
@@ -7,33 +7,33 @@
 import { RECORD_SCHEMA_VERSION, recordBodySchema, type RecordEnvelope, type StoredRecord } from '../contracts/records.js'
 import type { PlatformLog } from './platformLog.js'
 
-const READ_LIMIT = 500
+const MAXIMUM_RECORDS_PER_READ = 500
 const LONG_POLL_MILLISECONDS = 10_000
 const BACKOFF_BASE_MILLISECONDS = 100
 const BACKOFF_MAXIMUM_MILLISECONDS = 2000
-/** Identities remembered to ignore repeated appends. */
-const REMEMBERED_IDENTITIES = 50_000
+/** Number of recent record identities kept to ignore duplicates from retried appends. */
+const MAXIMUM_SEEN_IDENTITIES = 50_000
 
-/** Reads one stream in order and fires each record once, by its identity. */
+/** Reads one stream in order and fires each record once; duplicates are recognised by identity. */
 export class LogFollower extends DisposableObject {
   private nextOffset = 0
   private firstRetained = 0
   private failures = 0
   private caughtUp = false
-  private readonly identities = new Set<string>()
+  private readonly seenIdentities = new Set<string>()
   private readonly stopping = new AbortController()
   private readonly didRead = new Emitter<StoredRecord>()
   private readonly didCatchUp = new Emitter<void>()
   private readonly didTruncate = new Emitter<number>()
   private readonly didReadIdentity = new Emitter<string>()
   private newerRecordCount = 0
-  /** Fires with the identity of every record read, repeated and newer ones included. */
+  /** Fires with the identity of every record read, including duplicates and records of newer schema versions. */
   readonly onDidReadIdentity: Event<string> = this.didReadIdentity.event
   /** Fires for each record in log order. */
   readonly onDidReadRecord: Event<StoredRecord> = this.didRead.event
-  /** Fires once all records that were in the stream at start have been read. */
+  /** Fires when the end of the stream is reached for the first time. */
   readonly onDidCatchUp: Event<void> = this.didCatchUp.event
-  /** Fires with the first retained offset when records that were not yet read have left the retention period. */
+  /** Fires with the first retained offset when retention has removed records that were not read yet. */
   readonly onDidTruncate: Event<number> = this.didTruncate.event
 
   constructor (
@@ -51,17 +51,17 @@
     this.register(toDisposable(() => this.stopping.abort()))
   }
 
-  /** Whether the last read succeeded. */
+  /** Whether the follower has caught up and its last read succeeded. */
   get reachable (): boolean {
     return this.caughtUp && this.failures === 0
   }
 
-  /** Records skipped because a newer version wrote them. */
+  /** Number of records skipped because of a newer schema version. */
   get newerRecords (): number {
     return this.newerRecordCount
   }
 
-  /** First retained offset by the last read. */
+  /** First retained offset as of the last read. */
   get retainedFrom (): number {
     return this.firstRetained
   }
@@ -90,12 +90,12 @@
     }
   }
 
-  /** Whether the log answers now and holds no record that has not been read. */
+  /** Reads from the log and resolves with true if it responds and holds no unread record. */
   async probe (): Promise<boolean> {
     const from = this.nextOffset
     try {
-      const answer = await this.log.read(this.stream, from, 1, 0, this.stopping.signal)
-      return this.caughtUp && answer.nextOffset === from && this.nextOffset === from
+      const response = await this.log.read(this.stream, from, 1, 0, this.stopping.signal)
+      return this.caughtUp && response.nextOffset === from && this.nextOffset === from
     } catch (error) {
       this.logger.debug('probing a stream failed', { stream: this.stream, reason: describeError(error) })
       return false
@@ -104,24 +104,24 @@
 
   private async readOnce (): Promise<void> {
     const waitMilliseconds = this.caughtUp && this.failures === 0 ? LONG_POLL_MILLISECONDS : 0
-    const answer = await this.log.read(this.stream, this.nextOffset, READ_LIMIT, waitMilliseconds, this.stopping.signal)
+    const response = await this.log.read(this.stream, this.nextOffset, MAXIMUM_RECORDS_PER_READ, waitMilliseconds, this.stopping.signal)
     if (this.stopping.signal.aborted) return
-    this.firstRetained = answer.retainedFrom
-    if (answer.retainedFrom > this.nextOffset) this.didTruncate.fire(answer.retainedFrom)
-    for (const { offset, record } of answer.records) this.accept(offset, record)
-    this.nextOffset = Math.max(this.nextOffset, answer.retainedFrom, ...answer.records.map(({ offset }) => offset + 1))
-    if (this.caughtUp || this.nextOffset < answer.nextOffset) return
+    this.firstRetained = response.retainedFrom
+    if (response.retainedFrom > this.nextOffset) this.didTruncate.fire(response.retainedFrom)
+    for (const { offset, record } of response.records) this.process(offset, record)
+    this.nextOffset = Math.max(this.nextOffset, response.retainedFrom, ...response.records.map(({ offset }) => offset + 1))
+    if (this.caughtUp || this.nextOffset < response.nextOffset) return
     this.caughtUp = true
     this.didCatchUp.fire()
   }
 
-  private accept (offset: number, record: RecordEnvelope): void {
+  private process (offset: number, record: RecordEnvelope): void {
     this.didReadIdentity.fire(record.identity)
-    if (this.identities.has(record.identity)) return
-    this.identities.add(record.identity)
-    if (this.identities.size > REMEMBERED_IDENTITIES) {
-      const [oldest] = this.identities
-      this.identities.delete(oldest as string)
+    if (this.seenIdentities.has(record.identity)) return
+    this.seenIdentities.add(record.identity)
+    if (this.seenIdentities.size > MAXIMUM_SEEN_IDENTITIES) {
+      const [oldest] = this.seenIdentities
+      this.seenIdentities.delete(oldest as string)
     }
     this.clock.observe(record.logicalTime)
     const body = recordBodySchema.safeParse(record.body)
--- a/src/links/platformLog.ts
+++ b/src/links/platformLog.ts
@@ -4,26 +4,25 @@
 import type { RecordEnvelope } from '../contracts/records.js'
 import { isConnectFailure } from './connectFailure.js'
 
-/** The platform's append-only log. Every method rejects when the log is away; an append may have taken effect nevertheless, unless it rejects with `AppendRefusedError`. */
+/** The platform's append-only log. Every method rejects if the log is unavailable; an append may still have taken effect, unless it rejects with `AppendRefusedError`. */
 export abstract class PlatformLog {
   abstract append (stream: string, records: readonly RecordEnvelope[], signal?: AbortSignal): Promise<AppendAnswer>
 
-  /** Reads from `from`; waits up to `waitMilliseconds` for a record if there is none. */
+  /** Reads records from offset `from`; if there are none, waits up to `waitMilliseconds` for one. */
   abstract read (stream: string, from: number, limit: number, waitMilliseconds: number, signal?: AbortSignal): Promise<ReadAnswer>
 }
 
-/** The log has certainly not taken the records of an append. */
+/** An append that is known to have had no effect. */
 export class AppendRefusedError extends Error {}
 
-/** Statuses by which the log states that it has appended nothing; after any other error status it may have. */
+/** Returns whether an error status means that nothing was appended; after any other error status the append may have taken effect. */
 function isRefusal (status: number): boolean {
   return (status >= 400 && status < 500) || status === 503
 }
 
-/** Time after which an unanswered call counts as failed, in milliseconds. */
-const CALL_TIMEOUT_MILLISECONDS = 3000
+const REQUEST_TIMEOUT_MILLISECONDS = 3000
 
-/** The log by HTTP and JSON. */
+/** Accesses the log over HTTP with JSON. */
 export class HttpPlatformLog extends PlatformLog {
   constructor (private readonly address: string, private readonly agent: Agent) {
     super()
@@ -31,19 +30,19 @@
 
   override async append (stream: string, records: readonly RecordEnvelope[], signal?: AbortSignal): Promise<AppendAnswer> {
     const body = JSON.stringify({ records })
-    const answer = await this.sendAppend(stream, body, signal)
-    if (answer.statusCode !== 200) {
-      await answer.body.dump()
-      const message = `the platform's log answered append with status ${answer.statusCode}`
-      throw isRefusal(answer.statusCode) ? new AppendRefusedError(message) : new Error(message)
+    const response = await this.sendAppend(stream, body, signal)
+    if (response.statusCode !== 200) {
+      await response.body.dump()
+      const message = `the platform's log responded to append with status ${response.statusCode}`
+      throw isRefusal(response.statusCode) ? new AppendRefusedError(message) : new Error(message)
     }
-    return appendAnswerSchema.parse(await answer.body.json())
+    return appendAnswerSchema.parse(await response.body.json())
   }
 
   private async sendAppend (stream: string, body: string, signal: AbortSignal | undefined): ReturnType<typeof request> {
     try {
       return await request(`${this.address}/streams/${encodeURIComponent(stream)}/records`, {
-        method: 'POST', body, headers: { 'content-type': 'application/json' }, dispatcher: this.agent, signal, headersTimeout: CALL_TIMEOUT_MILLISECONDS, bodyTimeout: CALL_TIMEOUT_MILLISECONDS
+        method: 'POST', body, headers: { 'content-type': 'application/json' }, dispatcher: this.agent, signal, headersTimeout: REQUEST_TIMEOUT_MILLISECONDS, bodyTimeout: REQUEST_TIMEOUT_MILLISECONDS
       })
     } catch (error) {
       throw isConnectFailure(error) ? new AppendRefusedError(describeError(error), { cause: error }) : error
@@ -52,15 +51,15 @@
 
   override async read (stream: string, from: number, limit: number, waitMilliseconds: number, signal?: AbortSignal): Promise<ReadAnswer> {
     const query = new URLSearchParams({ from: String(from), limit: String(limit), waitMilliseconds: String(waitMilliseconds) })
-    const answer = await request(`${this.address}/streams/${encodeURIComponent(stream)}/records?${query}`, {
-      dispatcher: this.agent, signal, headersTimeout: CALL_TIMEOUT_MILLISECONDS + waitMilliseconds, bodyTimeout: CALL_TIMEOUT_MILLISECONDS
+    const response = await request(`${this.address}/streams/${encodeURIComponent(stream)}/records?${query}`, {
+      dispatcher: this.agent, signal, headersTimeout: REQUEST_TIMEOUT_MILLISECONDS + waitMilliseconds, bodyTimeout: REQUEST_TIMEOUT_MILLISECONDS
     })
-    return readAnswerSchema.parse(await readJson(answer, 'read'))
+    return readAnswerSchema.parse(await readJson(response, 'read'))
   }
 }
 
-async function readJson (answer: Awaited<ReturnType<typeof request>>, action: string): Promise<unknown> {
-  if (answer.statusCode === 200) return await answer.body.json()
-  await answer.body.dump()
-  throw new Error(`the platform's log answered ${action} with status ${answer.statusCode}`)
+async function readJson (response: Awaited<ReturnType<typeof request>>, action: string): Promise<unknown> {
+  if (response.statusCode === 200) return await response.body.json()
+  await response.body.dump()
+  throw new Error(`the platform's log responded to ${action} with status ${response.statusCode}`)
 }
