--- a/src/links/connectionPool.ts
+++ b/src/links/connectionPool.ts
@@ -2,27 +2,28 @@
 import { buildConnector, Client, type Dispatcher } from 'undici'
 import type { OutgoingRequest } from './outgoingRequest.js'
 
-/** Shorter than the idle time of common HTTP servers (5 s), so that a connection is rarely reused while its peer closes it. */
-const IDLE_MILLISECONDS = 4000
+/** Shorter than the keep-alive timeout of common HTTP servers (5 s), so that a connection is rarely reused while its peer closes it. */
+const IDLE_TIMEOUT_MILLISECONDS = 4000
 const CONNECT_TIMEOUT_MILLISECONDS = 500
 
-/** Raised instead of sending when the request may not start any more. */
+/** Aborts a request that is no longer allowed to start when it is about to be sent. */
 class NotStartedError extends Error {}
 
-/** What is asked and told when the first byte of a request is about to go out. */
+/** Callbacks right before the first byte of a request is sent. */
 export interface StartHooks {
+  /** Returns false to abort the request unsent. */
   mayStart (): boolean
-  /** Bytes may have gone out from now on. */
+  /** Called when the request starts; from then on bytes may have been sent. */
   onStart (): void
 }
 
-/** Wraps a handler so that the gate is asked at the point where undici is about to write; an abort there writes nothing. */
-function gateStart (handler: Dispatcher.DispatchHandler, gate: StartHooks): Dispatcher.DispatchHandler {
+/** Wraps a handler so that the hooks run when undici is about to write; an abort at that point writes nothing. */
+function withStartHooks (handler: Dispatcher.DispatchHandler, hooks: StartHooks): Dispatcher.DispatchHandler {
   return {
     onRequestStart: (controller, context) => {
-      if (gate.mayStart()) handler.onRequestStart?.(controller, context)
-      else controller.abort(new NotStartedError('the request may not start any more'))
-      if (!controller.aborted) gate.onStart()
+      if (hooks.mayStart()) handler.onRequestStart?.(controller, context)
+      else controller.abort(new NotStartedError('the request is no longer allowed to start'))
+      if (!controller.aborted) hooks.onStart()
     },
     onRequestUpgrade: (...values) => handler.onRequestUpgrade?.(...values),
     onResponseStart: (...values) => handler.onResponseStart?.(...values),
@@ -32,11 +33,11 @@
   }
 }
 
-/** At most one socket, used by one request at a time. */
+/** Connection with at most one socket, used by one request at a time. */
 export class Connection {
   private readonly client: Client
   private connectAttempts = 0
-  private sockets = 0
+  private openSockets = 0
   private destroyed = false
   busy = false
 
@@ -44,14 +45,14 @@
     const connect = buildConnector({ timeout: CONNECT_TIMEOUT_MILLISECONDS })
     this.client = new Client(address, {
       pipelining: 1,
-      keepAliveTimeout: IDLE_MILLISECONDS,
+      keepAliveTimeout: IDLE_TIMEOUT_MILLISECONDS,
       connect: (options, callback) => {
         this.connectAttempts += 1
         if (this.connectAttempts > 1 || this.destroyed) {
-          callback(new Error('the connection has been used up'), null)
+          callback(new Error('a connection is opened only once'), null)
           return
         }
-        this.sockets += 1
+        this.openSockets += 1
         connect(options, (...result) => {
           this.onConnected(result[0], result[1] as Socket | null)
           callback(...result)
@@ -62,11 +63,11 @@
     this.client.on('connectionError', () => this.destroy())
   }
 
-  /** Rejects if the connection breaks before the head of the answer. */
-  async request (request: OutgoingRequest, timeoutMilliseconds: number, signal: AbortSignal, gate: StartHooks): Promise<Dispatcher.ResponseData> {
-    const dispatcher = this.client.compose(dispatch => (options, handler) => dispatch(options, gateStart(handler, gate)))
+  /** Sends a request. Rejects if the connection breaks before the response headers arrive. */
+  async request (request: OutgoingRequest, timeoutMilliseconds: number, signal: AbortSignal, hooks: StartHooks): Promise<Dispatcher.ResponseData> {
+    const dispatcher = this.client.compose(dispatch => (options, handler) => dispatch(options, withStartHooks(handler, hooks)))
     try {
-      const answer = await dispatcher.request({
+      const response = await dispatcher.request({
         method: request.method as 'GET',
         path: request.path,
         headers: request.headers as Record<string, string | string[]>,
@@ -75,20 +76,20 @@
         bodyTimeout: timeoutMilliseconds,
         signal
       })
-      answer.body.once('close', () => this.onRequestEnded(!answer.body.readableEnded))
-      return answer
+      response.body.once('close', () => this.onRequestEnded(!response.body.readableEnded))
+      return response
     } catch (error) {
       this.onRequestEnded(true)
       throw error
     }
   }
 
-  /** Closes the socket at once. */
+  /** Closes the socket immediately. */
   destroy (): void {
     if (this.destroyed) return
     this.destroyed = true
     this.client.destroy().catch(() => {})
-    if (this.sockets === 0) this.onClosed(this)
+    if (this.openSockets === 0) this.onClosed(this)
   }
 
   private onConnected (error: Error | null, socket: Socket | null): void {
@@ -100,12 +101,12 @@
   }
 
   private onSocketClosed (): void {
-    this.sockets -= 1
+    this.openSockets -= 1
     if (this.destroyed) this.onClosed(this)
     else this.destroy()
   }
 
-  /** A connection whose exchange did not end properly is not used again, so that a late answer reaches no other request. */
+  /** Releases the connection. After an incomplete exchange it is destroyed, so that a late response is not matched to another request. */
   private onRequestEnded (broken: boolean): void {
     this.busy = false
     if (broken) this.destroy()
@@ -113,21 +114,21 @@
   }
 }
 
-/** Connections to one address within a limit. A connection counts from before it opens until its socket has closed. */
+/** Pool of connections to one address, with a limit. A connection counts from before it opens until its socket has closed. */
 export class ConnectionPool {
   private readonly connections = new Set<Connection>()
   private idle: Connection[] = []
-  private limitOfOpen = 0
+  private maximumOpen = 0
 
   constructor (private readonly address: string, private readonly onChange: (open: number) => void) {}
 
-  /** Sets the most connections that may be open; closes idle ones above it. */
+  /** Sets the maximum number of open connections and closes idle connections above it. */
   setLimit (connections: number): void {
-    this.limitOfOpen = connections
+    this.maximumOpen = connections
     this.closeExcess()
   }
 
-  /** Takes the connection that was used last, or a new one within the limit. */
+  /** Returns the most recently used idle connection, or opens one within the limit; undefined if none is available. */
   acquire (): Connection | undefined {
     const connection = this.idle.pop() ?? this.open()
     if (connection !== undefined) connection.busy = true
@@ -139,7 +140,7 @@
   }
 
   private open (): Connection | undefined {
-    if (this.connections.size >= this.limitOfOpen) return undefined
+    if (this.connections.size >= this.maximumOpen) return undefined
     const connection = new Connection(this.address, idle => this.onIdle(idle), closed => this.onClosed(closed))
     this.connections.add(connection)
     this.onChange(this.connections.size)
@@ -157,7 +158,7 @@
   }
 
   private closeExcess (): void {
-    let excess = this.connections.size - this.limitOfOpen
+    let excess = this.connections.size - this.maximumOpen
     while (excess > 0) {
       const connection = this.idle.shift()
       if (connection === undefined) return
--- a/src/links/outgoingRequest.ts
+++ b/src/links/outgoingRequest.ts
@@ -1,6 +1,6 @@
 import type { Readable } from 'node:stream'
 
-/** A request as it goes to an executor: hop-by-hop headers are removed. */
+/** Request to an executor, without hop-by-hop headers. */
 export interface OutgoingRequest {
   readonly method: string
   /** Path and query. */
