--- a/test/links/executorClient.test.ts
+++ b/test/links/executorClient.test.ts
@@ -6,22 +6,22 @@
 import type { OutgoingRequest } from '../../src/links/outgoingRequest.js'
 
 const REQUEST: OutgoingRequest = { method: 'POST', path: '/', headers: {}, body: Buffer.from('body') }
-const NEVER = new AbortController().signal
-/** Time limit of requests that are answered, in milliseconds; a slow machine keeps it, too. */
-const LONG_MILLISECONDS = 30_000
+const NEVER_ABORTED = new AbortController().signal
+/** Timeout of requests that get a response; long enough for slow machines. */
+const RESPONSE_TIMEOUT_MILLISECONDS = 30_000
 
 interface Peer {
   readonly address: string
   readonly sockets: Set<Socket>
   received: string
-  mostSockets: number
+  maximumSockets: number
   close (): void
 }
 
 async function listen (onData: (socket: Socket, text: string, peer: Peer) => void): Promise<Peer> {
   const server: Server = createServer(socket => {
     peer.sockets.add(socket)
-    peer.mostSockets = Math.max(peer.mostSockets, peer.sockets.size)
+    peer.maximumSockets = Math.max(peer.maximumSockets, peer.sockets.size)
     socket.on('close', () => peer.sockets.delete(socket))
     socket.on('error', () => {})
     socket.on('data', data => {
@@ -29,7 +29,7 @@
       onData(socket, data.toString(), peer)
     })
   })
-  const peer: Peer = { address: '', sockets: new Set(), received: '', mostSockets: 0, close: () => {} }
+  const peer: Peer = { address: '', sockets: new Set(), received: '', maximumSockets: 0, close: () => {} }
   server.listen(0, '127.0.0.1')
   await once(server, 'listening')
   return Object.assign(peer, {
@@ -41,7 +41,7 @@
   })
 }
 
-function answer (socket: Socket): void {
+function respond (socket: Socket): void {
   socket.write('HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok')
 }
 
@@ -58,33 +58,33 @@
   readonly run: (client: HttpExecutorClient, peer: Peer) => Promise<void>
 }
 
-/** Each case guards against a wrong statement that a request was not sent, or against connections above the limit. */
+/** Each case guards against reporting a sent request as not sent, or against exceeding the connection limit. */
 const CASES: readonly Case[] = [
   {
-    name: 'a reused connection that its peer closes after the request gives mayHaveRun',
+    name: 'returns mayHaveRun if the peer closes a reused connection after the request',
     onData: (socket, _text, peer) => {
       if (peer.received.split('POST').length > 2) socket.destroy()
-      else answer(socket)
+      else respond(socket)
     },
     run: async (client, peer) => {
-      assert.equal(await read(await client.send(peer.address, REQUEST, LONG_MILLISECONDS, 1, NEVER, () => true)), 'ok')
-      const second = await client.send(peer.address, REQUEST, LONG_MILLISECONDS, 1, NEVER, () => true)
+      assert.equal(await read(await client.send(peer.address, REQUEST, RESPONSE_TIMEOUT_MILLISECONDS, 1, NEVER_ABORTED, () => true)), 'ok')
+      const second = await client.send(peer.address, REQUEST, RESPONSE_TIMEOUT_MILLISECONDS, 1, NEVER_ABORTED, () => true)
       assert.equal(second.kind, 'mayHaveRun')
       assert.equal(peer.received.split('POST').length, 3)
     }
   },
   {
-    name: 'a request whose grant has ended while the connection was opened is not sent',
-    onData: socket => answer(socket),
+    name: 'does not send a request whose grant has expired while the connection was opened',
+    onData: socket => respond(socket),
     run: async (client, peer) => {
-      const result = await client.send(peer.address, REQUEST, 1000, 1, NEVER, () => false)
+      const result = await client.send(peer.address, REQUEST, 1000, 1, NEVER_ABORTED, () => false)
       assert.equal(result.kind, 'notSent')
       assert.equal(peer.received, '')
     }
   },
   {
-    name: 'an abort before the request is sent gives notSent',
-    onData: socket => answer(socket),
+    name: 'returns notSent if aborted before the request is sent',
+    onData: socket => respond(socket),
     run: async (client, peer) => {
       const result = await client.send(peer.address, REQUEST, 1000, 1, AbortSignal.abort(), () => true)
       assert.equal(result.kind, 'notSent')
@@ -92,7 +92,7 @@
     }
   },
   {
-    name: 'an abort after the request was sent gives mayHaveRun',
+    name: 'returns mayHaveRun if aborted after the request was sent',
     onData: () => {},
     run: async (client, peer) => {
       const caller = new AbortController()
@@ -104,41 +104,41 @@
     }
   },
   {
-    name: 'an answer that does not come in time gives mayHaveRun, timed out',
+    name: 'returns mayHaveRun with timedOut if there is no response in time',
     onData: () => {},
     run: async (client, peer) => {
-      const result = await client.send(peer.address, REQUEST, 50, 1, NEVER, () => true)
+      const result = await client.send(peer.address, REQUEST, 50, 1, NEVER_ABORTED, () => true)
       assert.deepEqual([result.kind, result.kind === 'mayHaveRun' && result.timedOut], ['mayHaveRun', true])
     }
   },
   {
-    name: 'a refused connection gives notSent',
+    name: 'returns notSent if the connection is refused',
     onData: () => {},
     run: async (client, peer) => {
       peer.close()
-      assert.equal((await client.send(peer.address, REQUEST, 1000, 1, NEVER, () => true)).kind, 'notSent')
+      assert.equal((await client.send(peer.address, REQUEST, 1000, 1, NEVER_ABORTED, () => true)).kind, 'notSent')
     }
   },
   {
-    name: 'a late answer to a request that was given up reaches no other request',
+    name: 'does not match a late response of a timed-out request to another request',
     onData: (socket, text) => {
       if (text.includes('POST /late')) setTimeout(() => socket.write('HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nlate'), 80)
-      else answer(socket)
+      else respond(socket)
     },
     run: async (client, peer) => {
-      await client.send(peer.address, { ...REQUEST, path: '/late' }, 30, 2, NEVER, () => true)
-      for (let index = 0; index < 5; index += 1) assert.equal(await read(await client.send(peer.address, REQUEST, 1000, 2, NEVER, () => true)), 'ok')
+      await client.send(peer.address, { ...REQUEST, path: '/late' }, 30, 2, NEVER_ABORTED, () => true)
+      for (let index = 0; index < 5; index += 1) assert.equal(await read(await client.send(peer.address, REQUEST, 1000, 2, NEVER_ABORTED, () => true)), 'ok')
     }
   },
   {
-    name: 'connections stay within the limit, and idle ones above a lowered limit are closed',
-    onData: socket => setTimeout(() => answer(socket), 20),
+    name: 'keeps connections within the limit and closes idle ones above a lowered limit',
+    onData: socket => setTimeout(() => respond(socket), 20),
     run: async (client, peer) => {
       const counts: number[] = []
       client.onDidChangeConnections(({ open }) => counts.push(open))
-      const results = await Promise.all(Array.from({ length: 6 }, async () => await read(await client.send(peer.address, REQUEST, 1000, 4, NEVER, () => true))))
+      const results = await Promise.all(Array.from({ length: 6 }, async () => await read(await client.send(peer.address, REQUEST, 1000, 4, NEVER_ABORTED, () => true))))
       assert.deepEqual(results.sort(), ['notSent', 'notSent', 'ok', 'ok', 'ok', 'ok'])
-      assert.equal(peer.mostSockets, 4)
+      assert.equal(peer.maximumSockets, 4)
       client.limitConnections(peer.address, 1)
       while (peer.sockets.size > 1) await new Promise(resolve => setImmediate(resolve))
       while (counts.at(-1) !== 1) await new Promise(resolve => setImmediate(resolve))
--- a/test/links/httpServer.test.ts
+++ b/test/links/httpServer.test.ts
@@ -6,11 +6,11 @@
 import { RawCaller, untilTrue } from '../fakes/rawCaller.js'
 
 const GET = 'GET / HTTP/1.1\r\nhost: h\r\n\r\n'
-const STOP_BOUND_MILLISECONDS = 30_000
+const SHUTDOWN_TIMEOUT_MILLISECONDS = 30_000
 const KEEP_ALIVE_MILLISECONDS = 5000
 const LARGE_BYTES = 4_000_000
 
-/** A server with callers; the test answers requests by hand. */
+/** A server with connected clients. The test completes the responses explicitly. */
 class Fixture {
   readonly exchanges: Array<{ readonly request: IncomingMessage, readonly response: ServerResponse }> = []
   readonly callers: RawCaller[] = []
@@ -28,31 +28,31 @@
     return caller
   }
 
-  /** A connection that has carried one request. */
-  async connectKept (): Promise<RawCaller> {
+  /** Returns an idle keep-alive connection that has already carried one request. */
+  async connectIdle (): Promise<RawCaller> {
     const caller = this.connect()
     caller.write(GET)
-    await this.received(1)
-    this.answerAll()
+    await this.waitForRequests(1)
+    this.respondToAll()
     await untilTrue(() => caller.text.endsWith('ok'))
     caller.text = ''
     return caller
   }
 
-  /** Waits until so many requests wait for their answer. */
-  async received (count: number): Promise<void> {
+  /** Waits until `count` requests are pending. */
+  async waitForRequests (count: number): Promise<void> {
     await untilTrue(() => this.exchanges.length >= count)
   }
 
-  answerAll (): void {
+  respondToAll (): void {
     for (const { request, response } of this.exchanges.splice(0)) {
       request.resume()
       response.end('ok')
     }
   }
 
-  drain (boundMilliseconds = STOP_BOUND_MILLISECONDS): Promise<number> {
-    return this.server.drain(performance.now() + boundMilliseconds)
+  drain (timeoutMilliseconds = SHUTDOWN_TIMEOUT_MILLISECONDS): Promise<number> {
+    return this.server.drain(performance.now() + timeoutMilliseconds)
   }
 }
 
@@ -61,141 +61,141 @@
   readonly run: (fixture: Fixture) => Promise<void>
 }
 
-async function endsAfter (caller: RawCaller, statuses: readonly number[]): Promise<void> {
+async function assertClosedAfter (caller: RawCaller, statuses: readonly number[]): Promise<void> {
   await untilTrue(() => caller.ended !== 'no')
   assert.deepEqual({ statuses: caller.statuses, closings: caller.closings, ended: caller.ended }, { statuses, closings: 1, ended: 'orderly' })
 }
 
-/** Each case guards against a planned stop that leaves a request without its whole answer, or resets its connection. */
-const ANSWERED: readonly Case[] = [
+/** Each case guards against a graceful shutdown that leaves a request without a complete response, or resets its connection. */
+const COMPLETED_REQUESTS: readonly Case[] = [
   {
-    name: 'a request that is being handled',
+    name: 'a request that is being processed',
     run: async fixture => {
       const caller = fixture.connect()
       caller.write(GET)
-      await fixture.received(1)
+      await fixture.waitForRequests(1)
       const drained = fixture.drain()
       await untilTrue(() => !fixture.server.isListening)
-      fixture.answerAll()
-      await endsAfter(caller, [200])
+      fixture.respondToAll()
+      await assertClosedAfter(caller, [200])
       assert.equal(await drained, 0)
     }
   },
   {
-    name: 'a request whose head has arrived in part',
+    name: 'a request whose head has arrived partially',
     run: async fixture => {
-      const caller = await fixture.connectKept()
+      const caller = await fixture.connectIdle()
       caller.write(GET.slice(0, 12))
       const drained = fixture.drain()
       await untilTrue(() => !fixture.server.isListening)
       caller.write(GET.slice(12))
-      await fixture.received(1)
-      fixture.answerAll()
-      await endsAfter(caller, [200])
+      await fixture.waitForRequests(1)
+      fixture.respondToAll()
+      await assertClosedAfter(caller, [200])
       assert.equal(await drained, 0)
     }
   },
   {
-    name: 'a request whose body has arrived in part',
+    name: 'a request whose body has arrived partially',
     run: async fixture => {
       const caller = fixture.connect()
       caller.write('POST / HTTP/1.1\r\nhost: h\r\ncontent-length: 4\r\n\r\nab')
-      await fixture.received(1)
+      await fixture.waitForRequests(1)
       const drained = fixture.drain()
       await untilTrue(() => !fixture.server.isListening)
       caller.write('cd')
       let body = ''
       for await (const chunk of (fixture.exchanges[0] as { request: IncomingMessage }).request) body += String(chunk)
       assert.equal(body, 'abcd')
-      fixture.answerAll()
-      await endsAfter(caller, [200])
+      fixture.respondToAll()
+      await assertClosedAfter(caller, [200])
       assert.equal(await drained, 0)
     }
   },
   {
-    name: 'pipelined requests, of which the last answer announces the end',
+    name: 'pipelined requests, announcing the close only in the last response',
     run: async fixture => {
       const caller = fixture.connect()
       caller.write(GET + GET + GET)
-      await fixture.received(3)
+      await fixture.waitForRequests(3)
       const drained = fixture.drain()
       await untilTrue(() => !fixture.server.isListening)
-      fixture.answerAll()
-      await endsAfter(caller, [200, 200, 200])
+      fixture.respondToAll()
+      await assertClosedAfter(caller, [200, 200, 200])
       assert.match(caller.text, /connection: close(?!.*HTTP)/is)
       assert.equal(await drained, 0)
     }
   },
   {
-    name: 'a pipelined request that arrives after the stop began',
+    name: 'a pipelined request that arrives after the shutdown has started',
     run: async fixture => {
       const caller = fixture.connect()
       caller.write(GET)
-      await fixture.received(1)
+      await fixture.waitForRequests(1)
       const drained = fixture.drain()
       await untilTrue(() => !fixture.server.isListening)
       caller.write(GET)
-      await fixture.received(2)
-      fixture.answerAll()
-      await endsAfter(caller, [200, 200])
+      await fixture.waitForRequests(2)
+      fixture.respondToAll()
+      await assertClosedAfter(caller, [200, 200])
       assert.equal(await drained, 0)
     }
   },
   {
-    name: 'a request that arrives on an idle connection as the stop begins',
+    name: 'a request that arrives on an idle connection as the shutdown starts',
     run: async fixture => {
-      const caller = await fixture.connectKept()
+      const caller = await fixture.connectIdle()
       caller.write(GET)
       const drained = fixture.drain()
-      await fixture.received(1)
-      fixture.answerAll()
-      await endsAfter(caller, [200])
+      await fixture.waitForRequests(1)
+      fixture.respondToAll()
+      await assertClosedAfter(caller, [200])
       assert.equal(await drained, 0)
     }
   },
   {
-    name: 'a request on a connection that was idle when listening ended',
+    name: 'a request on a connection that was idle when the server stopped listening',
     run: async fixture => {
-      const caller = await fixture.connectKept()
+      const caller = await fixture.connectIdle()
       const drained = fixture.drain()
       await untilTrue(() => !fixture.server.isListening)
       caller.write(GET)
-      await fixture.received(1)
-      fixture.answerAll()
-      await endsAfter(caller, [200])
+      await fixture.waitForRequests(1)
+      fixture.respondToAll()
+      await assertClosedAfter(caller, [200])
       assert.equal(await drained, 0)
     }
   },
   {
-    name: 'requests on connections that have not been accepted',
+    name: 'requests on connections that are not accepted yet',
     run: async fixture => {
       fixture.onRequest = (_request, response) => { response.end('ok') }
       const callers = Array.from({ length: 50 }, () => fixture.connect())
       for (const caller of callers) caller.write(GET)
       const drained = fixture.drain()
-      for (const caller of callers) await endsAfter(caller, [200])
+      for (const caller of callers) await assertClosedAfter(caller, [200])
       assert.equal(await drained, 0)
     }
   },
   {
-    name: 'a caller that connects anew after an answer that was on its way when listening began to end',
+    name: 'the request of a client that reconnects after a response that was pending when the shutdown started',
     run: async fixture => {
       const clock = new PausedClock()
       try {
         const first = fixture.connect()
         first.write(GET.replace('host: h', 'host: h\r\nconnection: close'))
-        await fixture.received(1)
+        await fixture.waitForRequests(1)
         const drained = fixture.drain()
         await clock.settle()
-        fixture.answerAll()
-        await endsAfter(first, [200])
+        fixture.respondToAll()
+        await assertClosedAfter(first, [200])
         const second = fixture.connect()
         second.write(GET)
         await untilTrue(() => second.socket.bytesWritten > 0)
         while (fixture.server.isListening) await clock.advance(10, 10)
-        await fixture.received(1)
-        fixture.answerAll()
-        await endsAfter(second, [200])
+        await fixture.waitForRequests(1)
+        fixture.respondToAll()
+        await assertClosedAfter(second, [200])
         assert.equal(await drained, 0)
       } finally {
         clock.uninstall()
@@ -203,11 +203,11 @@
     }
   },
   {
-    name: 'a request whose answer had begun, and the one after it',
+    name: 'a request whose response has started, and the next one on its connection',
     run: async fixture => {
       const caller = fixture.connect()
       caller.write(GET)
-      await fixture.received(1)
+      await fixture.waitForRequests(1)
       const first = fixture.exchanges.shift()?.response as ServerResponse
       first.write('begun ')
       await untilTrue(() => caller.text.includes('begun'))
@@ -216,49 +216,49 @@
       first.end('ended')
       await untilTrue(() => caller.text.includes('ended'))
       caller.write(GET)
-      await fixture.received(1)
-      fixture.answerAll()
-      await endsAfter(caller, [200, 200])
+      await fixture.waitForRequests(1)
+      fixture.respondToAll()
+      await assertClosedAfter(caller, [200, 200])
       assert.equal(await drained, 0)
     }
   },
   {
-    name: 'a request that is answered before its large body has arrived',
+    name: 'a request that gets its response before its large body has arrived',
     run: async fixture => {
-      const caller = await fixture.connectKept()
+      const caller = await fixture.connectIdle()
       fixture.onRequest = (_request, response) => { response.writeHead(503).end('refused') }
       caller.socket.pause()
       const drained = fixture.drain()
       caller.write(`POST / HTTP/1.1\r\nhost: h\r\ncontent-length: ${LARGE_BYTES}\r\n\r\n`)
       await new Promise<void>(resolve => { caller.socket.write('x'.repeat(LARGE_BYTES), () => resolve()) })
       caller.socket.resume()
-      await endsAfter(caller, [503])
+      await assertClosedAfter(caller, [503])
       assert.equal(await drained, 0)
     }
   },
   {
-    name: 'a request whose large answer is read slowly',
+    name: 'a request whose large response is read slowly',
     run: async fixture => {
       const caller = fixture.connect()
       caller.write(GET)
-      await fixture.received(1)
+      await fixture.waitForRequests(1)
       caller.socket.pause()
       const drained = fixture.drain()
       await untilTrue(() => !fixture.server.isListening)
       fixture.exchanges[0]?.response.end('x'.repeat(LARGE_BYTES))
-      for (let turns = 0; turns < 20; turns += 1) await new Promise(resolve => setImmediate(resolve))
+      for (let iterations = 0; iterations < 20; iterations += 1) await new Promise(resolve => setImmediate(resolve))
       caller.socket.resume()
-      await endsAfter(caller, [200])
+      await assertClosedAfter(caller, [200])
       assert.ok(caller.text.endsWith('x'.repeat(LARGE_BYTES)))
       assert.equal(await drained, 0)
     }
   }
 ]
 
-/** Each case guards against a stop that does not end, or that ends without saying what it cut off. */
-const BOUNDED: readonly Case[] = [
+/** Each case guards against a shutdown that does not finish, or that does not report the requests it aborts. */
+const TERMINATION: readonly Case[] = [
   {
-    name: 'without connections it ends at once, and new ones are refused',
+    name: 'finishes immediately without connections, and new connections are refused',
     run: async fixture => {
       assert.equal(await fixture.drain(), 0)
       const caller = fixture.connect()
@@ -267,17 +267,17 @@
     }
   },
   {
-    name: 'a server that does not listen ends at once',
+    name: 'finishes immediately on a server that does not listen',
     run: async () => {
-      assert.equal(await new HttpServer(() => {}).drain(performance.now() + STOP_BOUND_MILLISECONDS), 0)
+      assert.equal(await new HttpServer(() => {}).drain(performance.now() + SHUTDOWN_TIMEOUT_MILLISECONDS), 0)
     }
   },
   {
-    name: 'a connection that stays idle is ended after the keep-alive time',
+    name: 'closes idle connections after the keep-alive timeout',
     run: async fixture => {
-      const callers = [await fixture.connectKept(), fixture.connect()]
+      const callers = [await fixture.connectIdle(), fixture.connect()]
       await untilTrue(() => callers.every(caller => !caller.socket.connecting))
-      await fixture.server.stopListening(performance.now() + STOP_BOUND_MILLISECONDS)
+      await fixture.server.stopListening(performance.now() + SHUTDOWN_TIMEOUT_MILLISECONDS)
       const clock = new PausedClock()
       try {
         const drained = fixture.drain()
@@ -294,51 +294,51 @@
     }
   },
   {
-    name: 'a request that is not answered by the bound is cut off and counted',
+    name: 'aborts and counts a request without a response at the deadline',
     run: async fixture => {
       const caller = fixture.connect()
       caller.write(GET)
-      await fixture.received(1)
+      await fixture.waitForRequests(1)
       assert.equal(await fixture.drain(50), 1)
       await untilTrue(() => caller.ended !== 'no')
       assert.deepEqual(caller.statuses, [])
     }
   },
   {
-    name: 'a request whose head has not arrived whole by the bound is told to come back',
+    name: 'responds with retry-after to a request whose head is incomplete at the deadline',
     run: async fixture => {
-      const caller = await fixture.connectKept()
+      const caller = await fixture.connectIdle()
       caller.write(GET.slice(0, 12))
       const drained = fixture.drain(500)
-      await endsAfter(caller, [503])
+      await assertClosedAfter(caller, [503])
       assert.match(caller.text, /\r\nretry-after: 1\r\n/)
       assert.equal(await drained, 0)
     }
   },
   {
-    name: 'a request after an answer that announced the end is not handled',
+    name: 'ignores a request after a response that announced the close',
     run: async fixture => {
       let handled = 0
       fixture.onRequest = () => { handled += 1 }
       const caller = fixture.connect()
       caller.write(GET)
-      await fixture.received(1)
+      await fixture.waitForRequests(1)
       fixture.drain()
       await untilTrue(() => !fixture.server.isListening)
       const { response } = fixture.exchanges[0] as { response: ServerResponse }
       response.write('begun ')
       await untilTrue(() => caller.text.includes('begun'))
       caller.write(GET)
-      for (let turns = 0; turns < 20; turns += 1) await new Promise(resolve => setImmediate(resolve))
+      for (let iterations = 0; iterations < 20; iterations += 1) await new Promise(resolve => setImmediate(resolve))
       response.end('ended')
-      await endsAfter(caller, [200])
+      await assertClosedAfter(caller, [200])
       assert.equal(handled, 1)
     }
   }
 ]
 
 describe('HttpServer', () => {
-  for (const [title, cases] of [['a drain answers', ANSWERED], ['a drain is bounded', BOUNDED]] as const) {
+  for (const [title, cases] of [['drain completes', COMPLETED_REQUESTS], ['drain', TERMINATION]] as const) {
     for (const { name, run } of cases) {
       it(`${title}: ${name}`, { timeout: 20_000 }, async () => {
         const fixture = new Fixture()
--- a/test/links/linkHub.test.ts
+++ b/test/links/linkHub.test.ts
@@ -14,23 +14,23 @@
 const packer = new Packr({ useRecords: false })
 const unpacker = new Unpackr({ useRecords: false })
 
-/** A peer that speaks the handshake by hand. */
-interface Dialed {
+/** Client side of a handshake that the test completes explicitly. */
+interface DialedSocket {
   readonly socket: WebSocket
   readonly challenge: PeerIdentity & { readonly nonce: string, readonly proof: string }
   readonly nonce: string
 }
 
-async function dial (port: number, identity: PeerIdentity): Promise<Dialed | undefined> {
+async function dial (port: number, identity: PeerIdentity): Promise<DialedSocket | undefined> {
   const socket = new WebSocket(`ws://${HOST}:${port}`)
   await once(socket, 'open')
   const nonce = createNonce()
   socket.send(packer.pack({ type: 'hello', ...identity, nonce }))
-  const answer = await Promise.race([once(socket, 'message'), once(socket, 'close').then(() => undefined)])
-  return answer === undefined ? undefined : { socket, nonce, challenge: unpacker.unpack(answer[0] as Buffer) }
+  const message = await Promise.race([once(socket, 'message'), once(socket, 'close').then(() => undefined)])
+  return message === undefined ? undefined : { socket, nonce, challenge: unpacker.unpack(message[0] as Buffer) }
 }
 
-function proofOf (dialed: Dialed, key: string, identity: PeerIdentity): string {
+function createDialerProof (dialed: DialedSocket, key: string, identity: PeerIdentity): string {
   return createProof(key, 'dialer', dialed.nonce, dialed.challenge.nonce, identity, SELF)
 }
 
@@ -43,32 +43,32 @@
   }
 }
 
-/** Waits until the link is open or the socket is closed. */
-async function settled (hub: WebSocketLinkHub, socket: WebSocket): Promise<'open' | 'closed'> {
+/** Resolves when the link has opened or the socket has closed. */
+async function waitUntilSettled (hub: WebSocketLinkHub, socket: WebSocket): Promise<'open' | 'closed'> {
   const opened = new Promise<'open'>(resolve => hub.onDidOpen(() => resolve('open')))
   const closed = new Promise<'closed'>(resolve => socket.readyState === WebSocket.CLOSED ? resolve('closed') : socket.once('close', () => resolve('closed')))
   return await Promise.race([opened, closed])
 }
 
-/** Each case guards against a link to a peer that has not proved a key for this handshake and identity. */
-const PROOFS: ReadonlyArray<{ readonly name: string, readonly proof: (dialed: Dialed, earlier: string) => string, readonly expected: 'open' | 'closed' }> = [
-  { name: 'the first key', proof: dialed => proofOf(dialed, NEW_KEY, PEER), expected: 'open' },
-  { name: 'the second key, during rotation', proof: dialed => proofOf(dialed, OLD_KEY, PEER), expected: 'open' },
-  { name: 'a wrong key', proof: dialed => proofOf(dialed, OTHER_KEY, PEER), expected: 'closed' },
+/** Each case guards against a link to a peer that has not proved possession of a key for this handshake and identity. */
+const PROOFS: ReadonlyArray<{ readonly name: string, readonly proof: (dialed: DialedSocket, earlier: string) => string, readonly expected: 'open' | 'closed' }> = [
+  { name: 'the first key', proof: dialed => createDialerProof(dialed, NEW_KEY, PEER), expected: 'open' },
+  { name: 'the second key, during rotation', proof: dialed => createDialerProof(dialed, OLD_KEY, PEER), expected: 'open' },
+  { name: 'a wrong key', proof: dialed => createDialerProof(dialed, OTHER_KEY, PEER), expected: 'closed' },
   { name: 'a proof replayed from an earlier handshake', proof: (_dialed, earlier) => earlier, expected: 'closed' },
   { name: 'the acceptor\'s own proof reflected', proof: dialed => dialed.challenge.proof, expected: 'closed' },
-  { name: 'a proof for another incarnation', proof: dialed => proofOf(dialed, NEW_KEY, { ...PEER, incarnation: 'three' }), expected: 'closed' }
+  { name: 'a proof for another incarnation', proof: dialed => createDialerProof(dialed, NEW_KEY, { ...PEER, incarnation: 'three' }), expected: 'closed' }
 ]
 
 describe('WebSocketLinkHub', () => {
   for (const { name, proof, expected } of PROOFS) {
     it(`${name}: ${expected}`, async () => {
       await withHub(async (hub, port) => {
-        const first = await dial(port, PEER) as Dialed
-        const earlier = proofOf(first, NEW_KEY, PEER)
+        const first = await dial(port, PEER) as DialedSocket
+        const earlier = createDialerProof(first, NEW_KEY, PEER)
         first.socket.terminate()
-        const dialed = await dial(port, PEER) as Dialed
-        const outcome = settled(hub, dialed.socket)
+        const dialed = await dial(port, PEER) as DialedSocket
+        const outcome = waitUntilSettled(hub, dialed.socket)
         dialed.socket.send(packer.pack({ type: 'proof', proof: proof(dialed, earlier) }))
         assert.equal(await outcome, expected)
         assert.equal(hub.peers().length, expected === 'open' ? 1 : 0)
@@ -77,7 +77,7 @@
     })
   }
 
-  it('a peer that claims the own name gets no challenge', async () => {
+  it('sends no challenge to a peer that claims the name of this instance', async () => {
     await withHub(async (_hub, port) => assert.equal(await dial(port, { ...SELF, incarnation: 'other' }), undefined))
   })
 
@@ -89,9 +89,9 @@
   for (const { name, frame, counted } of FRAMES) {
     it(`${name} closes the link and is counted`, async () => {
       await withHub(async (hub, port) => {
-        const dialed = await dial(port, PEER) as Dialed
-        const outcome = settled(hub, dialed.socket)
-        dialed.socket.send(packer.pack({ type: 'proof', proof: proofOf(dialed, NEW_KEY, PEER) }))
+        const dialed = await dial(port, PEER) as DialedSocket
+        const outcome = waitUntilSettled(hub, dialed.socket)
+        dialed.socket.send(packer.pack({ type: 'proof', proof: createDialerProof(dialed, NEW_KEY, PEER) }))
         assert.equal(await outcome, 'open')
         dialed.socket.on('error', () => {})
         const closed = once(dialed.socket, 'close')
@@ -102,14 +102,14 @@
     })
   }
 
-  it('another incarnation at the same address replaces the link of its predecessor', async () => {
+  it('replaces the link to a peer when a new incarnation of it connects', async () => {
     await withHub(async (hub, port) => {
       const next = { ...PEER, incarnation: 'three' }
       const sockets: WebSocket[] = []
       for (const identity of [PEER, next]) {
-        const dialed = await dial(port, identity) as Dialed
-        const outcome = settled(hub, dialed.socket)
-        dialed.socket.send(packer.pack({ type: 'proof', proof: proofOf(dialed, NEW_KEY, identity) }))
+        const dialed = await dial(port, identity) as DialedSocket
+        const outcome = waitUntilSettled(hub, dialed.socket)
+        dialed.socket.send(packer.pack({ type: 'proof', proof: createDialerProof(dialed, NEW_KEY, identity) }))
         assert.equal(await outcome, 'open')
         sockets.push(dialed.socket)
       }
