--- a/src/entry/forwarder.ts
+++ b/src/entry/forwarder.ts
@@ -1,7 +1,7 @@
 import type { SiteConfiguration } from '../contracts/siteConfiguration.js'
 import { servingErrorSchema, type ServingError } from '../contracts/verdict.js'
-import type { ExecutorAnswer, ExecutorClient } from '../links/executorClient.js'
-import { createPeerProof, isValidPeerProof, PEER_PROOF_HEADER, PROOF_VALID_MILLISECONDS } from '../links/peerProof.js'
+import type { ExecutorResponse, ExecutorClient } from '../links/executorClient.js'
+import { createPeerProof, isValidPeerProof, PEER_PROOF_HEADER, PROOF_VALIDITY_MILLISECONDS } from '../links/peerProof.js'
 import type { ListedEntry, Membership } from '../machines/membership.js'
 import { CALLER_HEADERS, endToEndHeaders } from '../requests/headers.js'
 import { errorResult, type ServingResult, type PendingRequest } from './callerRequest.js'
@@ -54,7 +54,7 @@
     const result = await this.client.send(peer.callerAddress, { method: request.method, path, headers, body: request.body.open() }, remaining, PEER_CONNECTIONS, request.signal, () => monotonicNow() < request.deadline)
     if (result.kind === 'notSent') return errorResult(UNREACHABLE)
     if (result.kind === 'mayHaveRun') return errorResult(result.timedOut ? TIMED_OUT : OUTCOME_UNKNOWN)
-    return await this.relayResponse(pending, result.answer)
+    return await this.relayResponse(pending, result.response)
   }
 
   /** Returns true if a forwarded request carries a valid proof and its identity has not been received before. */
@@ -67,12 +67,12 @@
     }
     if (this.seenUntil.has(request.identity)) return false
     // The peer's clock may be ahead by the whole tolerance, so that its proof stays valid for twice the time.
-    this.seenUntil.set(request.identity, now + 2 * PROOF_VALID_MILLISECONDS)
+    this.seenUntil.set(request.identity, now + 2 * PROOF_VALIDITY_MILLISECONDS)
     return true
   }
 
   /** Passes on an error of the peer with its verdict; treats any other response as the executor's. */
-  private async relayResponse (pending: PendingRequest, response: ExecutorAnswer): Promise<ServingResult> {
+  private async relayResponse (pending: PendingRequest, response: ExecutorResponse): Promise<ServingResult> {
     response.body.on('error', () => {})
     this.context.events.clock.observe(Number(response.headers[CALLER_HEADERS.logicalTime] ?? 0))
     if (response.headers[CALLER_HEADERS.verdict] === undefined) {
--- a/test/fakes/fakeWorkers.ts
+++ b/test/fakes/fakeWorkers.ts
@@ -123,11 +123,11 @@
     return await this.command(address, worker => worker.start(this.self, task, body))
   }
 
-  override async act (address: string, task: string, action: TaskActionName, body: TaskAction): Promise<CommandOutcome> {
+  override async sendAction (address: string, task: string, action: TaskActionName, body: TaskAction): Promise<CommandOutcome> {
     return await this.command(address, worker => worker.act(task, action, body))
   }
 
-  override async renew (address: string, body: RenewLeases): Promise<WorkerReport> {
+  override async renewLeases (address: string, body: RenewLeases): Promise<WorkerReport> {
     return await this.call(address, worker => worker.renew(body))
   }
 
--- a/test/platform/adapter.test.ts
+++ b/test/platform/adapter.test.ts
@@ -4,7 +4,7 @@
 import { after, before, describe, it } from 'node:test'
 import FakeTimers from '@sinonjs/fake-timers'
 import type { ReadOutcome, SnapshotOutcome } from '../../src/cluster/recordLog.js'
-import { HttpCaller } from '../../src/links/httpCaller.js'
+import { HttpClient } from '../../src/links/httpClient.js'
 import { decodeJob } from '../../platform/jobFormat.js'
 import { PlatformLogClient } from '../../platform/logClient.js'
 import { decodeConfiguration, decodeWorker } from '../../platform/registry.js'
@@ -16,7 +16,7 @@
 let server: Server
 let address: string
 let respond: Responder = () => {}
-const http = new HttpCaller(4)
+const http = new HttpClient(4)
 
 before(async () => {
   server = createServer((request, response) => {
@@ -255,12 +255,12 @@
       response.end('{}')
     }
     const call = { method: 'POST', path: '/', channel: 'test', timeoutMilliseconds: 1000 } as const
-    assert.equal((await http.call(address, call)).kind, 'answer')
+    assert.equal((await http.request(address, call)).kind, 'answer')
     server.closeAllConnections()
     // The connection is closed, but the client has not noticed it yet.
-    assert.notEqual((await http.call(address, { ...call, requiresOpenConnection: true })).kind, 'answer')
+    assert.notEqual((await http.request(address, { ...call, requiresOpenConnection: true })).kind, 'answer')
     assert.equal(calls, 1)
-    assert.equal((await http.call(address, { ...call, requiresOpenConnection: true })).kind, 'notSent')
+    assert.equal((await http.request(address, { ...call, requiresOpenConnection: true })).kind, 'notSent')
   })
 
   it('decodes the eligible workers returned by the eligibility service', async () => {
--- a/test/soak/callers.ts
+++ b/test/soak/callers.ts
@@ -1,6 +1,6 @@
 import { delay } from '../../src/base/delay.js'
 import { Random } from '../../src/base/random.js'
-import { HttpCaller, type HttpOutcome } from '../../src/links/httpCaller.js'
+import { HttpClient, type HttpOutcome } from '../../src/links/httpClient.js'
 import { decodeJob } from '../../platform/jobFormat.js'
 import type { SentRequest } from './soakChecks.js'
 import { QUEUES, type SoakJob, type SoakSite } from './soakSite.js'
@@ -27,7 +27,7 @@
 
 /** One caller with kept connections. It stays with an instance until that one fails it. */
 export class Caller {
-  private readonly http = new HttpCaller(1)
+  private readonly http = new HttpClient(1)
   private instance: number
 
   constructor (private readonly site: SoakSite, private readonly random: Random) {
@@ -116,7 +116,7 @@
     const instance = this.site.instances[this.instance] as SentRequest['instance']
     const request = { instance, life: instance.life, what: `${method} ${path}`, sentAt: performance.now() }
     const headers = { host: 'jobs.example', 'vanillaturn-deadline-ms': String(TIME_LIMIT_MILLISECONDS) }
-    const outcome = await this.http.call(instance.callersAddress, { method, path, body, headers, timeoutMilliseconds: TIME_LIMIT_MILLISECONDS })
+    const outcome = await this.http.request(instance.callersAddress, { method, path, body, headers, timeoutMilliseconds: TIME_LIMIT_MILLISECONDS })
     if (outcome.kind === 'answer' && request.life !== undefined && request.life === instance.life) request.life.hasAnswered = true
     if (outcome.kind === 'unknown' && outcome.reason !== 'timed out') this.site.checks.onBroken(request)
     if (outcome.kind !== 'answer' || outcome.status >= 500) this.changeInstance()
