--- a/src/standins/executorStandin.ts
+++ b/src/standins/executorStandin.ts
@@ -1,6 +1,6 @@
 import { H3, type H3Event } from 'h3'
 import { delay } from '../base/delay.js'
-import { brokenAnswer, HttpStandin } from './httpServer.js'
+import { brokenAnswer, HttpStandin } from './httpStandin.js'
 import type { StandinContext } from './standinContext.js'
 
 /** Faults of an executor, switched by HTTP. */
--- a/src/standins/platformStandin.ts
+++ b/src/standins/platformStandin.ts
@@ -4,7 +4,7 @@
 import { Emitter } from '../base/emitter.js'
 import { appendBodySchema, type ListedInstance, type ReadAnswer } from '../contracts/platformProtocol.js'
 import type { RecordEnvelope } from '../contracts/records.js'
-import { brokenAnswer, HttpStandin } from './httpServer.js'
+import { brokenAnswer, HttpStandin } from './httpStandin.js'
 import type { StandinContext } from './standinContext.js'
 
 /** Behaviour of the platform stand-in. */
--- a/src/standins/workerStandin.ts
+++ b/src/standins/workerStandin.ts
@@ -2,7 +2,7 @@
 import { toDisposable } from '../base/disposable.js'
 import { addResources, fitsWithin, NO_RESOURCES, type Resources } from '../contracts/resources.js'
 import { STALE_TERM, renewLeasesSchema, startTaskSchema, taskActionSchema, type Attempt, type ReportedTask, type StartTask, type TaskActionName, type TaskState, type WorkerReport } from '../contracts/workerProtocol.js'
-import { brokenAnswer, HttpStandin } from './httpServer.js'
+import { brokenAnswer, HttpStandin } from './httpStandin.js'
 import type { StandinContext } from './standinContext.js'
 
 /** Faults of a worker, switched by HTTP. */
--- a/test/soak/loopbackStandin.ts
+++ b/test/soak/loopbackStandin.ts
@@ -1,5 +1,5 @@
 import { H3 } from 'h3'
-import { HttpStandin } from '../../src/standins/httpServer.js'
+import { HttpStandin } from '../../src/standins/httpStandin.js'
 
 export const LOOPBACK = '127.0.0.1'
 
