--- a/src/standins/executorStandin.ts
+++ b/src/standins/executorStandin.ts
@@ -1,6 +1,6 @@
 import { H3, type H3Event } from 'h3'
 import { delay } from '../base/delay.js'
-import { brokenAnswer, HttpStandin } from './httpStandin.js'
+import { createBrokenResponse, HttpStandin } from './httpStandin.js'
 import type { StandinContext } from './standinContext.js'
 
 /** Faults of an executor, switched by HTTP. */
@@ -64,8 +64,8 @@
     await delay(this.context.random.exponential(this.serviceMilliseconds * this.faults.slowFactor))
     this.concurrent -= 1
     this.context.events.record('executorEnded', { request, executor: this.name })
-    if (this.faults.loseAnswers) return brokenAnswer()
-    if (this.faults.cutBodies) return brokenAnswer('{"request":')
+    if (this.faults.loseAnswers) return createBrokenResponse()
+    if (this.faults.cutBodies) return createBrokenResponse('{"request":')
     return Response.json({ request, executor: this.name, path: event.url.pathname, echo: body.slice(0, BODY_PREVIEW_CHARACTERS) }, { headers: { 'vanillaturn-logical-time': String(this.context.events.clock.tick()) } })
   }
 }
--- a/src/standins/httpStandin.ts
+++ b/src/standins/httpStandin.ts
@@ -38,7 +38,7 @@
 }
 
 /** An answer whose connection breaks before it is complete, as when a process dies while answering. */
-export function brokenAnswer (firstBytes?: string): Response {
+export function createBrokenResponse (firstBytes?: string): Response {
   const body = new ReadableStream<Uint8Array>({
     start (controller) {
       if (firstBytes !== undefined) controller.enqueue(new TextEncoder().encode(firstBytes))
--- a/src/standins/platformStandin.ts
+++ b/src/standins/platformStandin.ts
@@ -4,7 +4,7 @@
 import { Emitter } from '../base/emitter.js'
 import { appendBodySchema, type ListedInstance, type ReadAnswer } from '../contracts/platformProtocol.js'
 import type { RecordEnvelope } from '../contracts/records.js'
-import { brokenAnswer, HttpStandin } from './httpStandin.js'
+import { createBrokenResponse, HttpStandin } from './httpStandin.js'
 import type { StandinContext } from './standinContext.js'
 
 /** Behaviour of the platform stand-in. */
@@ -78,7 +78,7 @@
     this.appends += 1
     this.trim(stream)
     this.appended.fire('')
-    if (this.context.random.fraction() < this.faults.lostAnswerShare) return brokenAnswer()
+    if (this.context.random.fraction() < this.faults.lostAnswerShare) return createBrokenResponse()
     return Response.json({ firstOffset, nextOffset: firstOffset + body.data.records.length })
   }
 
--- a/src/standins/workerStandin.ts
+++ b/src/standins/workerStandin.ts
@@ -2,7 +2,7 @@
 import { toDisposable } from '../base/disposable.js'
 import { addResources, fitsWithin, NO_RESOURCES, type Resources } from '../contracts/resources.js'
 import { STALE_TERM, renewLeasesSchema, startTaskSchema, taskActionSchema, type Attempt, type ReportedTask, type StartTask, type TaskActionName, type TaskState, type WorkerReport } from '../contracts/workerProtocol.js'
-import { brokenAnswer, HttpStandin } from './httpStandin.js'
+import { createBrokenResponse, HttpStandin } from './httpStandin.js'
 import type { StandinContext } from './standinContext.js'
 
 /** Faults of a worker, switched by HTTP. */
@@ -74,7 +74,7 @@
   }
 
   private async onStart (event: H3Event): Promise<Response> {
-    if (this.faults.silent) return brokenAnswer()
+    if (this.faults.silent) return createBrokenResponse()
     const parsed = startTaskSchema.safeParse(await event.req.json().catch(() => undefined))
     if (!parsed.success) return new Response('malformed start', { status: 400 })
     const command = parsed.data
@@ -85,12 +85,12 @@
     const known = this.tasks.get(name)
     if (known !== undefined && compareAttempts(command.attempt, known.command.attempt) < 0) return new Response('stale attempt', { status: 409 })
     if (known === undefined || compareAttempts(command.attempt, known.command.attempt) > 0) this.run(name, command)
-    if (this.faults.loseAnswers) return brokenAnswer()
+    if (this.faults.loseAnswers) return createBrokenResponse()
     return Response.json({ logicalTime: this.context.events.clock.tick() })
   }
 
   private async onAction (event: H3Event): Promise<Response> {
-    if (this.faults.silent) return brokenAnswer()
+    if (this.faults.silent) return createBrokenResponse()
     const parsed = taskActionSchema.safeParse(await event.req.json().catch(() => undefined))
     if (!parsed.success) return new Response('malformed action', { status: 400 })
     if (parsed.data.term < this.term) return new Response(STALE_TERM, { status: 409 })
@@ -98,12 +98,12 @@
     const task = this.tasks.get(decodeURIComponent(event.context.params?.task ?? ''))
     if (task === undefined || compareAttempts(parsed.data.attempt, task.command.attempt) !== 0) return new Response('unknown attempt', { status: 404 })
     this.act(task, event.context.params?.action as TaskActionName, parsed.data.throttlePercent)
-    if (this.faults.loseAnswers) return brokenAnswer()
+    if (this.faults.loseAnswers) return createBrokenResponse()
     return Response.json({ logicalTime: this.context.events.clock.tick() })
   }
 
   private async onRenew (event: H3Event): Promise<Response> {
-    if (this.faults.silent) return brokenAnswer()
+    if (this.faults.silent) return createBrokenResponse()
     const parsed = renewLeasesSchema.safeParse(await event.req.json().catch(() => undefined))
     if (!parsed.success) return new Response('malformed renewal', { status: 400 })
     const renewal = parsed.data
@@ -118,7 +118,7 @@
       const known = this.tasks.get(task)
       if (known !== undefined && known.run.state !== 'running' && compareAttempts(known.command.attempt, attempt) === 0) this.tasks.delete(task)
     }
-    if (this.faults.loseAnswers) return brokenAnswer()
+    if (this.faults.loseAnswers) return createBrokenResponse()
     return Response.json(this.report())
   }
 
