--- a/src/standins/executorStandin.ts
+++ b/src/standins/executorStandin.ts
@@ -47,7 +47,7 @@
   async listen (host: string, port: number): Promise<void> {
     const app = new H3()
     app.all('/**', async event => await this.onRequest(event))
-    await this.listenFor(app, host, port)
+    await this.startServer(app, host, port)
   }
 
   private async onRequest (event: H3Event): Promise<Response> {
--- a/src/standins/httpStandin.ts
+++ b/src/standins/httpStandin.ts
@@ -18,7 +18,7 @@
     return this.mostConnections
   }
 
-  protected async listenFor (app: H3, host: string, port: number): Promise<void> {
+  protected async startServer (app: H3, host: string, port: number): Promise<void> {
     const server = serve(app, { port, hostname: host, silent: true, gracefulShutdown: false })
     await server.ready()
     const node = server.node?.server as unknown as Server
--- a/src/standins/platformStandin.ts
+++ b/src/standins/platformStandin.ts
@@ -62,7 +62,7 @@
     app.get('/instances', async () => this.faults.outage ? unavailable() : Response.json({ instances: this.shownInstances() }))
     extend(app)
     this.takeSnapshot()
-    await this.listenFor(app, host, port)
+    await this.startServer(app, host, port)
   }
 
   private async onAppend (event: H3Event): Promise<Response> {
--- a/src/standins/workerStandin.ts
+++ b/src/standins/workerStandin.ts
@@ -70,7 +70,7 @@
     app.put('/tasks/:task', async event => await this.onStart(event))
     app.post('/tasks/:task/:action', async event => await this.onAction(event))
     app.post('/leases', async event => await this.onRenew(event))
-    await this.listenFor(app, host, port)
+    await this.startServer(app, host, port)
   }
 
   private async onStart (event: H3Event): Promise<Response> {
--- a/test/soak/loopbackStandin.ts
+++ b/test/soak/loopbackStandin.ts
@@ -27,7 +27,7 @@
       const { status, body } = await this.answer({ url, headers: req.headers, body: Buffer.from(await req.arrayBuffer()) })
       return new Response(Buffer.isBuffer(body) ? new Uint8Array(body) : JSON.stringify(body), { status })
     })
-    await this.listenFor(app, LOOPBACK, 0)
+    await this.startServer(app, LOOPBACK, 0)
     return this
   }
 
