--- a/src/programs/embeddedSite.ts
+++ b/src/programs/embeddedSite.ts
@@ -79,7 +79,7 @@
     }, this.sink)
     const ports = await instance.start()
     const callerAddress = `http://${HOST}:${ports.callers}`
-    this.standin.list({ kind: 'entry', name, failureDomain, address: `ws://${HOST}:${ports.links}`, callerAddress, state: 'live' })
+    this.standin.addInstance({ kind: 'entry', name, failureDomain, address: `ws://${HOST}:${ports.links}`, callerAddress, state: 'live' })
     this.instances.push(instance)
     this.callerAddresses.push(callerAddress)
   }
--- a/src/programs/standin.ts
+++ b/src/programs/standin.ts
@@ -13,7 +13,7 @@
     const { text } = readSiteText(settings.siteTextFile)
     const site = createSiteStandin(text, { ...settings, host: settings.platform.host, port: settings.platform.port }, writeLine)
     for (const entry of settings.entries) {
-      site.list({ kind: 'entry', name: entry.name, failureDomain: entry.failureDomain, address: entry.linkAddress, callerAddress: entry.callerAddress, state: 'live' })
+      site.addInstance({ kind: 'entry', name: entry.name, failureDomain: entry.failureDomain, address: entry.linkAddress, callerAddress: entry.callerAddress, state: 'live' })
     }
     try {
       await site.start()
--- a/src/standins/siteStandin.ts
+++ b/src/standins/siteStandin.ts
@@ -44,7 +44,7 @@
   }
 
   /** Adds or replaces a machine in the instance list. */
-  list (instance: ListedInstance): void {
+  addInstance (instance: ListedInstance): void {
     this.listed.set(instance.name, instance)
   }
 
@@ -69,7 +69,7 @@
 
   private setLeaving (name: string, leaving: boolean): void {
     const entry = this.listed.get(name)
-    if (entry !== undefined) this.list({ ...entry, state: leaving ? 'leaving' : 'live' })
+    if (entry !== undefined) this.addInstance({ ...entry, state: leaving ? 'leaving' : 'live' })
   }
 
   private routeControl (app: H3): void {
@@ -105,7 +105,7 @@
           const executor = this.register(new ExecutorStandin(this.contextOf(name), name, pool.slots, pool.connections, this.options.serviceMilliseconds * factor))
           await executor.listen(this.options.host, 0)
           this.executors.push(executor)
-          this.list({ kind: 'executor', name, failureDomain, pool: poolName, address: executor.address, state: 'live' })
+          this.addInstance({ kind: 'executor', name, failureDomain, pool: poolName, address: executor.address, state: 'live' })
         }
       }
     }
@@ -121,7 +121,7 @@
           const worker = this.register(new WorkerStandin(this.contextOf(name), name, `${name}.1`, { processorsThousandths, memoryBytes, accelerators }))
           await worker.listen(this.options.host, 0)
           this.workers.push(worker)
-          this.list({ kind: 'worker', name, failureDomain, pool: poolName, rack, address: worker.address, state: 'live' })
+          this.addInstance({ kind: 'worker', name, failureDomain, pool: poolName, rack, address: worker.address, state: 'live' })
         }
       }
     }
--- a/test/entry/entryInstance.test.ts
+++ b/test/entry/entryInstance.test.ts
@@ -65,7 +65,7 @@
       instance: 'gent-a-1', failureDomain: 'gent-a', region: 'be-vl', callers: { host: '127.0.0.1', port: 0 }, links: { host: '127.0.0.1', port: 0 }, platformAddress: standin.platform.address, linkKeys: ['planned-stop-link-key'], operatorTokens: [OPERATOR_TOKEN], logLevel: 'error', stopBoundMilliseconds: 20_000
     }, () => {})
     const { callers: port } = await instance.start()
-    standin.list({ kind: 'entry', name: 'gent-a-1', failureDomain: 'gent-a', address: 'ws://127.0.0.1:1', callerAddress: `http://127.0.0.1:${port}`, state: 'live' })
+    standin.addInstance({ kind: 'entry', name: 'gent-a-1', failureDomain: 'gent-a', address: 'ws://127.0.0.1:1', callerAddress: `http://127.0.0.1:${port}`, state: 'live' })
     const operator = new OperatorClient(standin.platform.address, [`http://127.0.0.1:${port}`], OPERATOR_TOKEN)
     assert.equal((await operator.publish(source, 0, 'test')).kind, 'accepted')
     await operator.close()
--- a/test/programs/plannedStop.test.ts
+++ b/test/programs/plannedStop.test.ts
@@ -69,7 +69,7 @@
     const entry = await startEntry(standin.platform.address)
     const callers = new PersistentCallers(entry.port, SERVICE_PATH)
     try {
-      standin.list({ kind: 'entry', name: 'gent-a-1', failureDomain: 'gent-a', address: 'ws://127.0.0.1:1', callerAddress: `http://127.0.0.1:${entry.port}`, state: 'live' })
+      standin.addInstance({ kind: 'entry', name: 'gent-a-1', failureDomain: 'gent-a', address: 'ws://127.0.0.1:1', callerAddress: `http://127.0.0.1:${entry.port}`, state: 'live' })
       const operator = new OperatorClient(standin.platform.address, [`http://127.0.0.1:${entry.port}`], OPERATOR_TOKEN)
       assert.equal((await operator.publish(source, 0, 'test')).kind, 'accepted')
       await operator.close()
