--- a/src/standins/siteStandin.ts
+++ b/src/standins/siteStandin.ts
@@ -49,7 +49,7 @@
   }
 
   /** Removes a machine from the instance list. */
-  unlist (name: string): void {
+  removeInstance (name: string): void {
     this.listed.delete(name)
   }
 
