--- a/src/programs/embeddedSite.ts
+++ b/src/programs/embeddedSite.ts
@@ -63,7 +63,7 @@
   /** Compares what callers were told with what executors and workers ran. Returns one line for each contradiction. */
   check (result: LoadResult, scenario: Scenario): string[] {
     const isIdempotent = (service: string): boolean => this.text.services[service]?.idempotent ?? false
-    return checkOutcomes({ outcomes: this.runner?.outcomes ?? [], jobs: result.jobs, ledger: this.standin.ledger(), isIdempotent, withFaults: scenario.faults.length > 0 })
+    return checkOutcomes({ outcomes: this.runner?.outcomes ?? [], jobs: result.jobs, ledger: this.standin.createLedger(), isIdempotent, withFaults: scenario.faults.length > 0 })
   }
 
   async stop (): Promise<void> {
--- a/src/standins/siteStandin.ts
+++ b/src/standins/siteStandin.ts
@@ -78,11 +78,11 @@
       if (!parsed.success) return new Response('malformed faults', { status: 400 })
       return new Response(null, { status: this.switchFaults(parsed.data.target, parsed.data.faults) ? 204 : 404 })
     })
-    app.get('/standin/ran', () => Response.json(this.ledger()))
+    app.get('/standin/ran', () => Response.json(this.createLedger()))
   }
 
   /** What the executors and workers ran. */
-  ledger (): StandinLedger {
+  createLedger (): StandinLedger {
     return {
       executors: this.executors.map(executor => ({ name: executor.name, slots: executor.slots, connections: executor.connections, maximumConcurrent: executor.maximumConcurrent, maximumConnections: executor.maximumConnections, runs: executor.runs })),
       workers: this.workers.map(worker => ({ name: worker.name, capacity: worker.capacity, mostUsed: worker.mostUsed, overcommittedStarts: worker.overcommittedStarts, runs: worker.runs })),
