--- a/src/standins/siteStandin.ts
+++ b/src/standins/siteStandin.ts
@@ -54,7 +54,7 @@
   }
 
   /** Sets faults of a machine or of the platform; returns false if there is no such target. */
-  switchFaults (target: string, faults: Readonly<Record<string, boolean | number>>): boolean {
+  setFaults (target: string, faults: Readonly<Record<string, boolean | number>>): boolean {
     this.context.events.record('faultSwitched', { detail: `${target} ${JSON.stringify(faults)}` })
     if (target === 'platform') {
       this.platform.switchFaults(faults)
@@ -76,7 +76,7 @@
     app.post('/standin/faults', async event => {
       const parsed = faultsSchema.safeParse(await event.req.json().catch(() => undefined))
       if (!parsed.success) return new Response('malformed faults', { status: 400 })
-      return new Response(null, { status: this.switchFaults(parsed.data.target, parsed.data.faults) ? 204 : 404 })
+      return new Response(null, { status: this.setFaults(parsed.data.target, parsed.data.faults) ? 204 : 404 })
     })
     app.get('/standin/ran', () => Response.json(this.createLedger()))
   }
