--- a/src/standins/platformStandin.ts
+++ b/src/standins/platformStandin.ts
@@ -107,7 +107,7 @@
   }
 
   /** Switches faults; a read that waits is woken, so that it notices an outage. */
-  switchFaults (faults: Partial<PlatformFaults>): void {
+  setFaults (faults: Partial<PlatformFaults>): void {
     Object.assign(this.faults, faults)
     this.appended.fire('')
   }
--- a/src/standins/siteStandin.ts
+++ b/src/standins/siteStandin.ts
@@ -57,7 +57,7 @@
   setFaults (target: string, faults: Readonly<Record<string, boolean | number>>): boolean {
     this.context.events.record('faultSwitched', { detail: `${target} ${JSON.stringify(faults)}` })
     if (target === 'platform') {
-      this.platform.switchFaults(faults)
+      this.platform.setFaults(faults)
       return true
     }
     const machine = [...this.executors, ...this.workers].find(candidate => candidate.name === target)
