--- a/src/load/loadRunner.ts
+++ b/src/load/loadRunner.ts
@@ -105,7 +105,7 @@
 
   private async switchFaults (entry: Scenario['faults'][number], startedAt: number): Promise<void> {
     await delay(Math.max(0, startedAt + entry.atMilliseconds - performance.now()))
-    const failure = await this.probe.switchFaults(entry.target, entry.faults)
+    const failure = await this.probe.setFaults(entry.target, entry.faults)
     if (failure !== undefined) this.notes.push(`fault of ${entry.target} at ${entry.atMilliseconds} ms was not switched: ${failure}`)
   }
 
--- a/src/load/siteProbe.ts
+++ b/src/load/siteProbe.ts
@@ -47,7 +47,7 @@
   }
 
   /** Switches faults of the stand-in; returns why it failed, or undefined. */
-  async switchFaults (target: string, faults: Readonly<Record<string, boolean | number>>): Promise<string | undefined> {
+  async setFaults (target: string, faults: Readonly<Record<string, boolean | number>>): Promise<string | undefined> {
     try {
       const answer = await request(`${this.standinAddress}/standin/faults`, { method: 'POST', headers: { 'content-type': 'application/json' }, body: JSON.stringify({ target, faults }), dispatcher: this.agent })
       await answer.body.dump()
