--- a/src/load/loadRunner.ts
+++ b/src/load/loadRunner.ts
@@ -123,7 +123,7 @@
   }
 
   private async sampleOnce (second: number): Promise<void> {
-    const statuses = await this.probe.readStatus()
+    const statuses = await this.probe.readStatuses()
     const owners = new Map([...statuses].filter(([, status]) => status.isOwner).map(([address, status]) => [status.failureDomain, address]))
     await this.tracker.poll(owners)
     const { waitingDomains } = this.tracker
--- a/src/load/siteProbe.ts
+++ b/src/load/siteProbe.ts
@@ -24,7 +24,7 @@
   constructor (private readonly addresses: readonly string[], private readonly token: string, private readonly agent: Agent, private readonly standinAddress: string | undefined) {}
 
   /** Status of every instance that answers, by its address. */
-  async readStatus (): Promise<ReadonlyMap<string, ProbedStatus>> {
+  async readStatuses (): Promise<ReadonlyMap<string, ProbedStatus>> {
     const answers = await Promise.all(this.addresses.map(async address => [address, await this.statusOf(address)] as const))
     return new Map(answers.flatMap(([address, status]) => status === undefined ? [] : [[address, status]]))
   }
