--- a/src/load/loadRunner.ts
+++ b/src/load/loadRunner.ts
@@ -56,7 +56,7 @@
 
   /** Runs to the end of the arrivals, and until jobs have ended or the settle time has passed. */
   async run (): Promise<LoadResult> {
-    const before = await this.probe.readControl()
+    const before = await this.probe.readControlCounters()
     const startedAt = performance.now()
     const arrivals = this.scenario.requests.map(async (stream, index) => await this.runStream(stream, index, startedAt))
     const submissions = this.scenario.jobs.map(async entry => await this.tracker.submit(entry, startedAt))
@@ -66,7 +66,7 @@
     await Promise.all(this.inFlight)
     await sampling
     const durationMilliseconds = performance.now() - startedAt
-    const control = controlCost(before, await this.probe.readControl(), durationMilliseconds)
+    const control = controlCost(before, await this.probe.readControlCounters(), durationMilliseconds)
     return {
       seed: this.scenario.seed,
       durationMilliseconds,
--- a/src/load/siteProbe.ts
+++ b/src/load/siteProbe.ts
@@ -29,7 +29,7 @@
     return new Map(answers.flatMap(([address, status]) => status === undefined ? [] : [[address, status]]))
   }
 
-  async readControl (): Promise<ControlReading[]> {
+  async readControlCounters (): Promise<ControlReading[]> {
     const readings = await Promise.all(this.addresses.map(async (address): Promise<ControlReading | undefined> => {
       const [status, text] = await Promise.all([this.statusOf(address), this.read(`${address}/metrics`)])
       if (text === undefined) return undefined
