--- a/src/load/siteProbe.ts
+++ b/src/load/siteProbe.ts
@@ -10,7 +10,7 @@
 type ProbedStatus = z.infer<typeof statusSchema>
 
 /** Counters of one entry instance at one moment. */
-export interface ControlReading {
+export interface ControlCounters {
   readonly address: string
   readonly instance: string
   readonly processorSeconds: number
@@ -29,8 +29,8 @@
     return new Map(answers.flatMap(([address, status]) => status === undefined ? [] : [[address, status]]))
   }
 
-  async readControlCounters (): Promise<ControlReading[]> {
-    const readings = await Promise.all(this.addresses.map(async (address): Promise<ControlReading | undefined> => {
+  async readControlCounters (): Promise<ControlCounters[]> {
+    const readings = await Promise.all(this.addresses.map(async (address): Promise<ControlCounters | undefined> => {
       const [status, text] = await Promise.all([this.statusOf(address), this.read(`${address}/metrics`)])
       if (text === undefined) return undefined
       const value = (name: string): number => Number(new RegExp(`^vanillaturn_${name} (\\S+)$`, 'm').exec(text)?.[1] ?? 0)
@@ -75,7 +75,7 @@
 }
 
 /** Cost between two readings. An instance that restarted in between is counted from its restart. */
-export function controlCost (before: readonly ControlReading[], after: readonly ControlReading[], durationMilliseconds: number): ControlResult[] {
+export function controlCost (before: readonly ControlCounters[], after: readonly ControlCounters[], durationMilliseconds: number): ControlResult[] {
   return after.map(reading => {
     const earlier = before.find(candidate => candidate.address === reading.address)
     const difference = (field: 'processorSeconds' | 'linkBytes' | 'appends'): number => {
