--- a/src/load/loadRunner.ts
+++ b/src/load/loadRunner.ts
@@ -8,7 +8,7 @@
 import type { LoadResult } from './loadResult.js'
 import { RequestSender, type RequestOutcome, type StreamState } from './requestSender.js'
 import type { RequestStream, Scenario } from './scenario.js'
-import { controlCost, SiteProbe } from './siteProbe.js'
+import { computeControlCost, SiteProbe } from './siteProbe.js'
 
 /** Entry instances that the load goes to. */
 export interface LoadTarget {
@@ -66,7 +66,7 @@
     await Promise.all(this.inFlight)
     await sampling
     const durationMilliseconds = performance.now() - startedAt
-    const control = controlCost(before, await this.probe.readControlCounters(), durationMilliseconds)
+    const control = computeControlCost(before, await this.probe.readControlCounters(), durationMilliseconds)
     return {
       seed: this.scenario.seed,
       durationMilliseconds,
--- a/src/load/siteProbe.ts
+++ b/src/load/siteProbe.ts
@@ -75,7 +75,7 @@
 }
 
 /** Cost between two readings. An instance that restarted in between is counted from its restart. */
-export function controlCost (before: readonly ControlCounters[], after: readonly ControlCounters[], durationMilliseconds: number): ControlResult[] {
+export function computeControlCost (before: readonly ControlCounters[], after: readonly ControlCounters[], durationMilliseconds: number): ControlResult[] {
   return after.map(reading => {
     const earlier = before.find(candidate => candidate.address === reading.address)
     const difference = (field: 'processorSeconds' | 'linkBytes' | 'appends'): number => {
