--- a/src/load/siteProbe.ts
+++ b/src/load/siteProbe.ts
@@ -7,7 +7,7 @@
 
 const processors = z.object({ processorsThousandths: z.number() })
 const statusSchema = z.object({ instance: z.string(), failureDomain: z.string(), isOwner: z.boolean(), used: processors.optional(), capacity: processors.optional() })
-type ProbedStatus = z.infer<typeof statusSchema>
+type InstanceStatus = z.infer<typeof statusSchema>
 
 /** Counters of one entry instance at one moment. */
 export interface ControlCounters {
@@ -24,7 +24,7 @@
   constructor (private readonly addresses: readonly string[], private readonly token: string, private readonly agent: Agent, private readonly standinAddress: string | undefined) {}
 
   /** Status of every instance that answers, by its address. */
-  async readStatuses (): Promise<ReadonlyMap<string, ProbedStatus>> {
+  async readStatuses (): Promise<ReadonlyMap<string, InstanceStatus>> {
     const answers = await Promise.all(this.addresses.map(async address => [address, await this.statusOf(address)] as const))
     return new Map(answers.flatMap(([address, status]) => status === undefined ? [] : [[address, status]]))
   }
@@ -58,7 +58,7 @@
     }
   }
 
-  private async statusOf (address: string): Promise<ProbedStatus | undefined> {
+  private async statusOf (address: string): Promise<InstanceStatus | undefined> {
     const text = await this.read(`${address}/operator/status`, { authorization: `Bearer ${this.token}` })
     return text === undefined ? undefined : statusSchema.safeParse(JSON.parse(text)).data
   }
