--- a/src/load/jobTracker.ts
+++ b/src/load/jobTracker.ts
@@ -29,7 +29,7 @@
 
   constructor (private readonly addresses: readonly string[], private readonly agent: Agent, private readonly random: Random, private readonly runIdentity: string) {}
 
-  get submitted (): number {
+  get submittedCount (): number {
     return this.jobs.length
   }
 
--- a/src/load/loadRunner.ts
+++ b/src/load/loadRunner.ts
@@ -117,7 +117,7 @@
       // Without jobs there is nothing to read, and reading would be part of the control cost that is measured.
       if (this.scenario.jobs.length > 0) await this.sampleOnce(Math.floor((now - startedAt) / 1000))
       this.onProgress(Math.min(1, (now - startedAt) / this.scenario.durationMilliseconds))
-      const allSubmitted = this.tracker.submitted === this.scenario.jobs.length
+      const allSubmitted = this.tracker.submittedCount === this.scenario.jobs.length
       if (now >= arrivalsEnd && allSubmitted && !this.tracker.hasOpen) return
     }
   }
