--- a/src/load/jobTracker.ts
+++ b/src/load/jobTracker.ts
@@ -34,7 +34,7 @@
   }
 
   /** Whether a job has been accepted, or may have been, and has not ended. A service that runs has nothing more to wait for. */
-  get hasOpen (): boolean {
+  get hasOpenJobs (): boolean {
     return this.jobs.some(job => isOpen(job))
   }
 
--- a/src/load/loadRunner.ts
+++ b/src/load/loadRunner.ts
@@ -118,7 +118,7 @@
       if (this.scenario.jobs.length > 0) await this.sampleOnce(Math.floor((now - startedAt) / 1000))
       this.onProgress(Math.min(1, (now - startedAt) / this.scenario.durationMilliseconds))
       const allSubmitted = this.tracker.submittedCount === this.scenario.jobs.length
-      if (now >= arrivalsEnd && allSubmitted && !this.tracker.hasOpen) return
+      if (now >= arrivalsEnd && allSubmitted && !this.tracker.hasOpenJobs) return
     }
   }
 
