--- a/src/load/jobTracker.ts
+++ b/src/load/jobTracker.ts
@@ -39,7 +39,7 @@
   }
 
   /** Failure domains in which a job waits for the start of its tasks. */
-  get waitingDomains (): ReadonlySet<string> {
+  get waitingFailureDomains (): ReadonlySet<string> {
     return new Set(this.jobs.filter(job => job.state === 'waiting' || job.state === 'starting').map(job => job.failureDomain))
   }
 
--- a/src/load/loadRunner.ts
+++ b/src/load/loadRunner.ts
@@ -126,7 +126,7 @@
     const statuses = await this.probe.readStatuses()
     const owners = new Map([...statuses].filter(([, status]) => status.isOwner).map(([address, status]) => [status.failureDomain, address]))
     await this.tracker.poll(owners)
-    const { waitingDomains } = this.tracker
+    const { waitingFailureDomains: waitingDomains } = this.tracker
     const shareOf = (domains: Iterable<string>): number | undefined => {
       let used = 0
       let capacity = 0
