--- a/src/load/outcomeCheck.ts
+++ b/src/load/outcomeCheck.ts
@@ -33,7 +33,7 @@
   for (const outcome of outcomes) {
     const ran = outcome.request === undefined ? undefined : runs.get(outcome.request) ?? 0
     const mayRepeat = withFaults && isIdempotent(outcome.service)
-    if (outcome.mixedUp) problems.push(`request ${outcome.request} got the answer to another request`)
+    if (outcome.isMismatched) problems.push(`request ${outcome.request} got the answer to another request`)
     if (!withFaults && (outcome.kind === 'broken' || outcome.kind === 'mayHaveRun')) problems.push(`a request to ${outcome.service} ended as ${outcome.kind}`)
     if (outcome.kind === 'answered' && outcome.request === undefined) problems.push(`a request to ${outcome.service} was answered without an identity`)
     if (ran === undefined) continue
--- a/src/load/requestSender.ts
+++ b/src/load/requestSender.ts
@@ -19,7 +19,7 @@
   readonly request: string | undefined
   readonly key: string | undefined
   /** Whether the answer was to another request. */
-  readonly mixedUp: boolean
+  readonly isMismatched: boolean
   /** Time the request was due, after the start, and time from then to the outcome, in milliseconds. */
   readonly dueMilliseconds: number
   readonly tookMilliseconds: number
@@ -100,12 +100,12 @@
       const told = { status: answer.statusCode, request: identity === undefined ? undefined : String(identity) }
       this.note(told.request, told.status, answer.headers['vanillaturn-logical-time'])
       const error = servingErrorSchema.safeParse(body?.error)
-      if (error.success) return { ...told, kind: error.data.verdict, code: error.data.code, mixedUp: false }
+      if (error.success) return { ...told, kind: error.data.verdict, code: error.data.code, isMismatched: false }
       const answered = body?.request
       const mixedUp = key === undefined && told.request !== undefined && typeof answered === 'string' && answered !== told.request
-      return { ...told, kind: 'answered', code: undefined, mixedUp }
+      return { ...told, kind: 'answered', code: undefined, isMismatched: mixedUp }
     } catch {
-      return { kind: 'broken', status: 0, code: undefined, request: undefined, mixedUp: false }
+      return { kind: 'broken', status: 0, code: undefined, request: undefined, isMismatched: false }
     }
   }
 
--- a/test/load/outcomeCheck.test.ts
+++ b/test/load/outcomeCheck.test.ts
@@ -11,7 +11,7 @@
 const NO_RESOURCES = { processorsThousandths: 0, memoryBytes: 0, accelerators: 0 }
 
 function outcome (fields: Partial<RequestOutcome>): RequestOutcome {
-  return { service: 'booking', urgency: 'urgent', kind: 'answered', status: 200, code: undefined, request: 'r1', key: undefined, mixedUp: false, dueMilliseconds: 0, tookMilliseconds: 1, ...fields }
+  return { service: 'booking', urgency: 'urgent', kind: 'answered', status: 200, code: undefined, request: 'r1', key: undefined, isMismatched: false, dueMilliseconds: 0, tookMilliseconds: 1, ...fields }
 }
 
 function executor (requests: ReadonlyArray<readonly [request: string, key?: string]>, fields: Partial<Executor> = {}): Executor {
@@ -48,7 +48,7 @@
   { name: 'an error of the executor that did not run', outcomes: [outcome({ status: 500 })], expected: [] },
   { name: 'an unknown outcome without faults', outcomes: [outcome({ kind: 'mayHaveRun', status: 502 })], expected: [/ended as mayHaveRun/] },
   { name: 'an unknown outcome under faults', withFaults: true, outcomes: [outcome({ kind: 'broken', request: undefined })], expected: [] },
-  { name: 'the answer to another request', outcomes: [outcome({ mixedUp: true })], executors: [executor([['r1']])], expected: [/r1 got the answer to another request/] },
+  { name: 'the answer to another request', outcomes: [outcome({ isMismatched: true })], executors: [executor([['r1']])], expected: [/r1 got the answer to another request/] },
   { name: 'a key that ran twice over two submissions', withFaults: true, outcomes: [outcome({ kind: 'broken', request: undefined, key: 'k' }), outcome({ request: 'r2', key: 'k' })], executors: [executor([['r1', 'k'], ['r2', 'k']])], expected: [/idempotency key k ran 2 times/] },
   { name: 'a key answered from the record of an earlier submission', withFaults: true, outcomes: [outcome({ kind: 'broken', request: undefined, key: 'k' }), outcome({ request: 'r2', key: 'k' })], executors: [executor([['r1', 'k']])], expected: [] },
   { name: 'a key answered without a run', withFaults: true, outcomes: [outcome({ key: 'k' })], expected: [/idempotency key k was answered and ran 0 times/] },
