--- a/src/load/loadRunner.ts
+++ b/src/load/loadRunner.ts
@@ -150,7 +150,7 @@
   private series (): LoadResult['series'] {
     const length = Math.max(Math.ceil(this.scenario.durationMilliseconds / 1000), ...this.samples.map(sample => sample.second + 1))
     const times = new Map<string, number[][]>()
-    for (const { kind, urgency, dueMilliseconds, tookMilliseconds } of this.outcomes) {
+    for (const { kind, urgency, dueMilliseconds, elapsedMilliseconds: tookMilliseconds } of this.outcomes) {
       if (kind !== 'answered') continue
       const seconds = times.get(urgency) ?? Array.from({ length }, (): number[] => [])
       times.set(urgency, seconds)
--- a/src/load/requestSender.ts
+++ b/src/load/requestSender.ts
@@ -22,7 +22,7 @@
   readonly isMismatched: boolean
   /** Time the request was due, after the start, and time from then to the outcome, in milliseconds. */
   readonly dueMilliseconds: number
-  readonly tookMilliseconds: number
+  readonly elapsedMilliseconds: number
 }
 
 /** Source of requests: its random choices depend on the seed only. */
@@ -69,7 +69,7 @@
     for (const [index, address] of addresses.entries()) {
       const told = await this.exchange(address, stream, key)
       const tookMilliseconds = performance.now() - dueAt
-      this.outcomes.push({ service: stream.service, urgency, key, ...told, dueMilliseconds: dueAt - startedAt, tookMilliseconds })
+      this.outcomes.push({ service: stream.service, urgency, key, ...told, dueMilliseconds: dueAt - startedAt, elapsedMilliseconds: tookMilliseconds })
       const unknown = told.kind === 'broken' || told.kind === 'mayHaveRun'
       if (unknown && resubmit && index + 1 < MAXIMUM_SUBMISSIONS) {
         record.resubmitted += 1
--- a/test/load/outcomeCheck.test.ts
+++ b/test/load/outcomeCheck.test.ts
@@ -11,7 +11,7 @@
 const NO_RESOURCES = { processorsThousandths: 0, memoryBytes: 0, accelerators: 0 }
 
 function outcome (fields: Partial<RequestOutcome>): RequestOutcome {
-  return { service: 'booking', urgency: 'urgent', kind: 'answered', status: 200, code: undefined, request: 'r1', key: undefined, isMismatched: false, dueMilliseconds: 0, tookMilliseconds: 1, ...fields }
+  return { service: 'booking', urgency: 'urgent', kind: 'answered', status: 200, code: undefined, request: 'r1', key: undefined, isMismatched: false, dueMilliseconds: 0, elapsedMilliseconds: 1, ...fields }
 }
 
 function executor (requests: ReadonlyArray<readonly [request: string, key?: string]>, fields: Partial<Executor> = {}): Executor {
