--- a/src/load/loadRunner.ts
+++ b/src/load/loadRunner.ts
@@ -6,7 +6,7 @@
 import type { Urgency } from '../contracts/siteText.js'
 import { JobTracker } from './jobTracker.js'
 import type { LoadResult } from './loadResult.js'
-import { RequestSender, type RequestOutcome, type StreamState } from './requestSender.js'
+import { RequestSender, type RequestOutcome, type RequestStreamState } from './requestSender.js'
 import type { RequestStream, Scenario } from './scenario.js'
 import { computeControlCost, SiteProbe } from './siteProbe.js'
 
@@ -87,7 +87,7 @@
   /** Sends each request at the time it is due, however long earlier ones take. */
   private async runStream (stream: RequestStream, index: number, startedAt: number): Promise<void> {
     const gaps = new Random(this.scenario.seed + 2 * index + 1)
-    const state: StreamState = { stream, random: new Random(this.scenario.seed + 2 * index + 2), sent: 0 }
+    const state: RequestStreamState = { stream, random: new Random(this.scenario.seed + 2 * index + 2), sent: 0 }
     const end = startedAt + Math.min(this.scenario.durationMilliseconds, stream.untilMilliseconds ?? Infinity)
     let due = startedAt + stream.fromMilliseconds + gaps.exponential(1000 / stream.perSecond)
     while (due < end) {
--- a/src/load/requestSender.ts
+++ b/src/load/requestSender.ts
@@ -26,7 +26,7 @@
 }
 
 /** Source of requests: its random choices depend on the seed only. */
-export interface StreamState {
+export interface RequestStreamState {
   readonly stream: RequestStream
   readonly random: Random
   sent: number
@@ -57,7 +57,7 @@
   ) {}
 
   /** Sends a request that was due at `dueAt` (monotonic milliseconds) and submits it again as the stream asks. */
-  async send (state: StreamState, dueAt: number, startedAt: number): Promise<void> {
+  async send (state: RequestStreamState, dueAt: number, startedAt: number): Promise<void> {
     const { stream, random } = state
     const urgency = stream.urgency ?? this.urgencyOf(stream.service)
     const record = this.classOf(urgency)
