--- a/bench/capacityMessages.ts
+++ b/bench/capacityMessages.ts
@@ -9,7 +9,7 @@
 import { HttpPlatformLog } from '../src/links/platformLog.js'
 import { SlotAllocator } from '../src/requests/slotAllocator.js'
 import { ConfigurationHistory } from '../src/zones/configurationHistory.js'
-import { CountingServer, medianMilliseconds, medianProcessorMilliseconds, printRow, printTitle } from './measure.js'
+import { ByteCountingServer, medianMilliseconds, medianProcessorMilliseconds, printRow, printTitle } from './measure.js'
 
 const EXECUTOR_COUNTS = [10, 30, 100] as const
 const HOLDER_COUNTS = [3, 9, 27] as const
@@ -64,7 +64,7 @@
   const logger = new Logger('bench', 'error', () => {})
   for (const perRead of RECORDS_PER_READ) {
     const count = Math.min(LOG_RECORDS, perRead * 500)
-    const server = new CountingServer((request, response) => {
+    const server = new ByteCountingServer((request, response) => {
       const from = Number(new URL(request.url ?? '', 'http://localhost').searchParams.get('from'))
       const records = Array.from({ length: Math.min(perRead, count - from) }, (_, index) => ({ offset: from + index, record: createRecord(from + index) }))
       if (records.length > 0) response.setHeader('content-type', 'application/json').end(JSON.stringify({ retainedFrom: 0, nextOffset: count, records }))
--- a/bench/capacityPlacement.ts
+++ b/bench/capacityPlacement.ts
@@ -10,7 +10,7 @@
 import { TASK_LEASE_MILLISECONDS } from '../src/scheduling/holdTimers.js'
 import { taskName } from '../src/scheduling/jobState.js'
 import { Scheduler } from '../src/scheduling/scheduler.js'
-import { CountingServer, medianMilliseconds, medianProcessorMilliseconds, printRow, printTitle, retainedBytes } from './measure.js'
+import { ByteCountingServer, medianMilliseconds, medianProcessorMilliseconds, printRow, printTitle, retainedBytes } from './measure.js'
 
 /** Exchanges before the first that is measured, which open connections and let the runtime compile. */
 const WARM_EXCHANGES = 4000
@@ -61,7 +61,7 @@
   for (const [workers, tasksPerWorker] of LEASE_SIZES) {
     const inventory = createInventory(workers, workers * tasksPerWorker, seed)
     const answers = new Map([...inventory.reports].map(([worker, report]) => [worker, JSON.stringify(report)]))
-    const server = new CountingServer((request, response) => {
+    const server = new ByteCountingServer((request, response) => {
       request.resume()
       request.once('end', () => response.setHeader('content-type', 'application/json').end(answers.get(request.url?.split('/')[1] ?? '')))
     })
--- a/bench/measure.ts
+++ b/bench/measure.ts
@@ -51,7 +51,7 @@
 }
 
 /** An HTTP server on a port of the system that counts the bytes on its sockets. */
-export class CountingServer {
+export class ByteCountingServer {
   private readonly sockets = new Set<Socket>()
   private readonly server: Server
 
