--- a/bench/requestSimulation.ts
+++ b/bench/requestSimulation.ts
@@ -11,12 +11,12 @@
 import { SlotHolder } from '../src/requests/slotHolder.js'
 
 /** How the slots are shared among instances. */
-export type Sharing = 'grants' | 'owner' | 'static'
+export type SlotSharing = 'grants' | 'owner' | 'static'
 
 /** A simulated failure domain on a simulated clock. Times are milliseconds. */
 export interface SimulationOptions {
   readonly seed: number
-  readonly sharing: Sharing
+  readonly sharing: SlotSharing
   readonly instances: number
   /** Mean service time of each executor. */
   readonly serviceMilliseconds: readonly number[]
--- a/bench/requests.ts
+++ b/bench/requests.ts
@@ -1,10 +1,10 @@
 import type { Random } from '../src/base/random.js'
 import { LeastExpectedTimeChooser, LeastInFlightChooser, PowerOfTwoChoicesChooser, RandomChooser, RoundRobinChooser, type ExecutorChooser } from '../src/requests/executorChooser.js'
-import { RequestSimulation, type Sharing, type SimulationOptions, type SimulationResult } from './requestSimulation.js'
+import { RequestSimulation, type SlotSharing, type SimulationOptions, type SimulationResult } from './requestSimulation.js'
 
 const LOADS = [0.5, 0.8, 0.95]
 const INSTANCE_COUNTS = [3, 9]
-const SHARINGS: readonly Sharing[] = ['grants', 'owner', 'static']
+const SHARINGS: readonly SlotSharing[] = ['grants', 'owner', 'static']
 const CHOOSERS: ReadonlyArray<readonly [name: string, create: (random: Random) => ExecutorChooser]> = [
   ['least expected time', () => new LeastExpectedTimeChooser()],
   ['round robin', () => new RoundRobinChooser()],
