--- a/bench/requestSimulation.ts
+++ b/bench/requestSimulation.ts
@@ -25,7 +25,7 @@
   readonly mix: Readonly<Record<Urgency, number>>
   readonly deadlineMilliseconds: Readonly<Record<Urgency, number>>
   /** Arrivals of instance i are proportional to 1 / (i + 1) to this power. */
-  readonly unevenness: number
+  readonly arrivalSkew: number
   readonly durationMilliseconds: number
   readonly createChooser: (random: Random) => ExecutorChooser
   /** Executors with these indexes answer an error after 1 ms. */
@@ -101,7 +101,7 @@
       this.at(0, () => this.tick(instance))
     }
     const capacity = this.options.serviceMilliseconds.reduce((sum, service) => sum + SLOTS / (service * (1 + LOAD_FACTOR * (SLOTS - 1))), 0)
-    const weights = Array.from({ length: this.options.instances }, (_, index) => 1 / (index + 1) ** this.options.unevenness)
+    const weights = Array.from({ length: this.options.instances }, (_, index) => 1 / (index + 1) ** this.options.arrivalSkew)
     const total = weights.reduce((sum, weight) => sum + weight, 0)
     for (const [index, weight] of weights.entries()) this.scheduleArrival(index, total / (weight * capacity * this.options.load))
     while (this.events.length > 0) {
--- a/bench/requests.ts
+++ b/bench/requests.ts
@@ -23,7 +23,7 @@
   load: 0.8,
   mix: { urgent: 0.3, normal: 0.3, deferrable: 0.4 },
   deadlineMilliseconds: { urgent: 3000, normal: 5000, deferrable: 20_000 },
-  unevenness: 1,
+  arrivalSkew: 1,
   durationMilliseconds: 30_000,
   createChooser: () => new LeastExpectedTimeChooser()
 }
--- a/test/requests/poolDispatcher.test.ts
+++ b/test/requests/poolDispatcher.test.ts
@@ -153,7 +153,7 @@
 
 describe('overload', () => {
   const options: Omit<SimulationOptions, 'load' | 'mix'> = {
-    seed: 1, sharing: 'grants', instances: 3, serviceMilliseconds: [20, 40, 80, 160], deadlineMilliseconds: { urgent: 3000, normal: 5000, deferrable: 20_000 }, unevenness: 1, durationMilliseconds: 15_000, createChooser: () => new LeastExpectedTimeChooser()
+    seed: 1, sharing: 'grants', instances: 3, serviceMilliseconds: [20, 40, 80, 160], deadlineMilliseconds: { urgent: 3000, normal: 5000, deferrable: 20_000 }, arrivalSkew: 1, durationMilliseconds: 15_000, createChooser: () => new LeastExpectedTimeChooser()
   }
 
   for (const mix of [{ urgent: 0.3, normal: 0.3, deferrable: 0.4 }, { urgent: 1, normal: 0, deferrable: 0 }]) {
