--- a/bench/requestSimulation.ts
+++ b/bench/requestSimulation.ts
@@ -29,7 +29,7 @@
   readonly durationMilliseconds: number
   readonly createChooser: (random: Random) => ExecutorChooser
   /** Executors with these indexes answer an error after 1 ms. */
-  readonly failing?: ReadonlySet<number>
+  readonly failingExecutors?: ReadonlySet<number>
   readonly queueCapacity?: number
 }
 
@@ -165,7 +165,7 @@
     if (this.isMeasured()) this.waiting[request.urgency].recordValue(microseconds(this.now + hop - request.arrivedAt))
     this.running[index] = (this.running[index] ?? 0) + 1
     this.mostInFlight = Math.max(this.mostInFlight, this.running[index] ?? 0)
-    const fails = this.options.failing?.has(index) ?? false
+    const fails = this.options.failingExecutors?.has(index) ?? false
     const mean = (this.options.serviceMilliseconds[index] as number) * (1 + LOAD_FACTOR * ((this.running[index] ?? 1) - 1))
     const duration = fails ? 1 : this.random.exponential(mean)
     this.at(this.now + hop + duration, () => {
--- a/bench/requests.ts
+++ b/bench/requests.ts
@@ -48,7 +48,7 @@
   }
   write('fast errors: share of urgent requests that failed while 2 of 10 executors answer an error within 1 ms; load 50 %')
   for (const [name, createChooser] of CHOOSERS) {
-    const result = new RequestSimulation({ ...BASE, seed, load: 0.5, createChooser, failing: new Set([0, 5]) }).run()
+    const result = new RequestSimulation({ ...BASE, seed, load: 0.5, createChooser, failingExecutors: new Set([0, 5]) }).run()
     write(`${name}: ${result.failed} failed of ${sum(result.offered)}`)
   }
   write('overload: share of offered requests answered in time, and share refused')
