--- a/bench/requestSimulation.ts
+++ b/bench/requestSimulation.ts
@@ -36,7 +36,7 @@
 /** What was measured after the first fifth of the time. */
 export interface SimulationResult {
   /** Time from arrival to dispatch, in microseconds, by class. */
-  readonly waiting: Readonly<Record<Urgency, Histogram>>
+  readonly waitingTimes: Readonly<Record<Urgency, Histogram>>
   /** Time from arrival to answer, in microseconds, by class. */
   readonly answer: Readonly<Record<Urgency, Histogram>>
   readonly offered: Readonly<Record<Urgency, number>>
@@ -112,7 +112,7 @@
       event()
     }
     const { waiting, answer, offered, answeredInTime, refused, failed, mostInFlight } = this
-    return { waiting, answer, offered, answeredInTime, refused, failed, mostInFlight, controlBytesPerSecond: this.bytes / this.options.durationMilliseconds * 1000 }
+    return { waitingTimes: waiting, answer, offered, answeredInTime, refused, failed, mostInFlight, controlBytesPerSecond: this.bytes / this.options.durationMilliseconds * 1000 }
   }
 
   private createInstance (index: number, count: number): SimulatedInstance {
