--- a/bench/requestSimulation.ts
+++ b/bench/requestSimulation.ts
@@ -38,7 +38,7 @@
   /** Time from arrival to dispatch, in microseconds, by class. */
   readonly waitingTimes: Readonly<Record<Urgency, Histogram>>
   /** Time from arrival to answer, in microseconds, by class. */
-  readonly answer: Readonly<Record<Urgency, Histogram>>
+  readonly responseTimes: Readonly<Record<Urgency, Histogram>>
   readonly offered: Readonly<Record<Urgency, number>>
   readonly answeredInTime: Readonly<Record<Urgency, number>>
   readonly refused: Readonly<Record<Urgency, number>>
@@ -112,7 +112,7 @@
       event()
     }
     const { waiting, answer, offered, answeredInTime, refused, failed, mostInFlight } = this
-    return { waitingTimes: waiting, answer, offered, answeredInTime, refused, failed, mostInFlight, controlBytesPerSecond: this.bytes / this.options.durationMilliseconds * 1000 }
+    return { waitingTimes: waiting, responseTimes: answer, offered, answeredInTime, refused, failed, mostInFlight, controlBytesPerSecond: this.bytes / this.options.durationMilliseconds * 1000 }
   }
 
   private createInstance (index: number, count: number): SimulatedInstance {
--- a/bench/requests.ts
+++ b/bench/requests.ts
@@ -43,7 +43,7 @@
   for (const load of LOADS) {
     for (const [name, createChooser] of CHOOSERS) {
       const result = new RequestSimulation({ ...BASE, seed, load, createChooser }).run()
-      write(`load ${percent(load)}, ${name}: ${waitingOf(result)}, answer p50 ${at(result, 'answer', 50)} p99 ${at(result, 'answer', 99)}, normal answer p99 ${(result.answer.normal.getValueAtPercentile(99) / 1000).toFixed(1)}, deferrable answer p99 ${(result.answer.deferrable.getValueAtPercentile(99) / 1000).toFixed(1)}`)
+      write(`load ${percent(load)}, ${name}: ${waitingOf(result)}, answer p50 ${at(result, 'answer', 50)} p99 ${at(result, 'answer', 99)}, normal answer p99 ${(result.responseTimes.normal.getValueAtPercentile(99) / 1000).toFixed(1)}, deferrable answer p99 ${(result.responseTimes.deferrable.getValueAtPercentile(99) / 1000).toFixed(1)}`)
     }
   }
   write('fast errors: share of urgent requests that failed while 2 of 10 executors answer an error within 1 ms; load 50 %')
