--- a/bench/requestSimulation.ts
+++ b/bench/requestSimulation.ts
@@ -45,7 +45,7 @@
   readonly failed: number
   readonly controlBytesPerSecond: number
   /** Most requests at one executor at once. */
-  readonly mostInFlight: number
+  readonly peakInFlight: number
 }
 
 interface SimulatedRequest extends DispatchableRequest {
@@ -112,7 +112,7 @@
       event()
     }
     const { waiting, answer, offered, answeredInTime, refused, failed, mostInFlight } = this
-    return { waitingTimes: waiting, responseTimes: answer, offered, answeredInTime, refused, failed, mostInFlight, controlBytesPerSecond: this.bytes / this.options.durationMilliseconds * 1000 }
+    return { waitingTimes: waiting, responseTimes: answer, offered, answeredInTime, refused, failed, peakInFlight: mostInFlight, controlBytesPerSecond: this.bytes / this.options.durationMilliseconds * 1000 }
   }
 
   private createInstance (index: number, count: number): SimulatedInstance {
--- a/bench/requests.ts
+++ b/bench/requests.ts
@@ -35,7 +35,7 @@
     for (const load of LOADS) {
       for (const sharing of SHARINGS) {
         const result = new RequestSimulation({ ...BASE, seed, sharing, instances, load }).run()
-        write(`${instances} instances, load ${percent(load)}, ${sharing}: ${waitingOf(result)}, answer p99 ${at(result, 'answer', 99)}, ${Math.round(result.controlBytesPerSecond)} B/s, most in flight ${result.mostInFlight}`)
+        write(`${instances} instances, load ${percent(load)}, ${sharing}: ${waitingOf(result)}, answer p99 ${at(result, 'answer', 99)}, ${Math.round(result.controlBytesPerSecond)} B/s, most in flight ${result.peakInFlight}`)
       }
     }
   }
--- a/test/requests/poolDispatcher.test.ts
+++ b/test/requests/poolDispatcher.test.ts
@@ -161,7 +161,7 @@
       const baseline = new RequestSimulation({ ...options, mix, load: 0.95 }).run()
       const overloaded = new RequestSimulation({ ...options, mix, load: 3 }).run()
       assert.ok(overloaded.answeredInTime.urgent >= baseline.answeredInTime.urgent * 0.9, `${overloaded.answeredInTime.urgent} against ${baseline.answeredInTime.urgent}`)
-      assert.ok(overloaded.mostInFlight <= 8)
+      assert.ok(overloaded.peakInFlight <= 8)
     })
   }
 })
