--- a/src/load/jobTracker.ts
+++ b/src/load/jobTracker.ts
@@ -16,16 +16,16 @@
   startedAt: number | undefined
 }
 
-const CALL_TIMEOUT_MILLISECONDS = 5000
-const SUBMISSIONS = 5
-const RESUBMIT_MILLISECONDS = 1000
-/** Jobs that are read in one round, so that polling does not become the load. */
-const READS_PER_ROUND = 32
+const REQUEST_TIMEOUT_MILLISECONDS = 5000
+const MAXIMUM_SUBMISSIONS = 5
+const RESUBMIT_DELAY_MILLISECONDS = 1000
+/** Limits the load that polling itself causes. */
+const MAXIMUM_READS_PER_POLL = 32
 
-/** Submits the jobs of a scenario and follows them. Nothing that fails is thrown. */
+/** Submits the jobs of a scenario and tracks their state. Failures are recorded, never thrown. */
 export class JobTracker {
   private readonly jobs: TrackedJob[] = []
-  private nextRead = 0
+  private nextReadIndex = 0
 
   constructor (private readonly addresses: readonly string[], private readonly agent: Agent, private readonly random: Random, private readonly runIdentity: string) {}
 
@@ -33,36 +33,36 @@
     return this.jobs.length
   }
 
-  /** Whether a job has been accepted, or may have been, and has not ended. A service that runs has nothing more to wait for. */
+  /** Whether any job has been accepted, or may have been, and has not ended. A running service does not count, as it does not end by itself. */
   get hasOpenJobs (): boolean {
     return this.jobs.some(job => isOpen(job))
   }
 
-  /** Failure domains in which a job waits for the start of its tasks. */
+  /** Failure domains in which a job waits for its tasks to start. */
   get waitingFailureDomains (): ReadonlySet<string> {
     return new Set(this.jobs.filter(job => job.state === 'waiting' || job.state === 'starting').map(job => job.failureDomain))
   }
 
-  /** Submits a job when it is due; an unknown outcome is submitted again with the same idempotency key. */
+  /** Submits a job at its due time, and resubmits it with the same idempotency key if the outcome is unknown. */
   async submit (entry: Scenario['jobs'][number], startedAt: number): Promise<void> {
     await delay(Math.max(0, startedAt + entry.atMilliseconds - performance.now()))
     const job: TrackedJob = { submission: entry.submission, submittedAt: performance.now(), identity: '', failureDomain: '', state: 'submitting', startedAt: undefined }
     const key = `${this.runIdentity}-job-${this.jobs.length}`
     this.jobs.push(job)
-    for (let attempt = 1; attempt <= SUBMISSIONS; attempt += 1) {
-      if (attempt > 1) await delay(RESUBMIT_MILLISECONDS)
+    for (let attempt = 1; attempt <= MAXIMUM_SUBMISSIONS; attempt += 1) {
+      if (attempt > 1) await delay(RESUBMIT_DELAY_MILLISECONDS)
       const outcome = await this.submitOnce(job, key)
       if (outcome === 'settled') return
       job.state = outcome
     }
   }
 
-  /** Reads the state of open jobs, each at the owner of its failure domain, as only the owner knows what has started. */
+  /** Reads the state of open jobs, each from the owner of its failure domain, as only the owner knows which tasks have started. */
   async poll (owners: ReadonlyMap<string, string>): Promise<void> {
     const open = this.jobs.filter(job => job.identity !== '' && isOpen(job))
-    const chosen = open.length <= READS_PER_ROUND ? open : Array.from({ length: READS_PER_ROUND }, (_, index) => open[(this.nextRead + index) % open.length] as TrackedJob)
-    this.nextRead += READS_PER_ROUND
-    await Promise.all(chosen.map(async job => await this.read(job, owners.get(job.failureDomain) ?? this.addresses[0] ?? '')))
+    const chosen = open.length <= MAXIMUM_READS_PER_POLL ? open : Array.from({ length: MAXIMUM_READS_PER_POLL }, (_, index) => open[(this.nextReadIndex + index) % open.length] as TrackedJob)
+    this.nextReadIndex += MAXIMUM_READS_PER_POLL
+    await Promise.all(chosen.map(async job => await this.readState(job, owners.get(job.failureDomain) ?? this.addresses[0] ?? '')))
   }
 
   results (): { jobs: JobResult[], jobClasses: Record<string, JobClassResult> } {
@@ -82,11 +82,11 @@
 
   private async submitOnce (job: TrackedJob, key: string): Promise<'settled' | 'refused' | 'unknown'> {
     try {
-      const answer = await request(`${this.random.pick(this.addresses)}/jobs`, {
-        method: 'POST', headers: { 'content-type': 'application/json', 'idempotency-key': key }, body: JSON.stringify(job.submission), dispatcher: this.agent, headersTimeout: CALL_TIMEOUT_MILLISECONDS, bodyTimeout: CALL_TIMEOUT_MILLISECONDS
+      const response = await request(`${this.random.pick(this.addresses)}/jobs`, {
+        method: 'POST', headers: { 'content-type': 'application/json', 'idempotency-key': key }, body: JSON.stringify(job.submission), dispatcher: this.agent, headersTimeout: REQUEST_TIMEOUT_MILLISECONDS, bodyTimeout: REQUEST_TIMEOUT_MILLISECONDS
       })
-      const body = await answer.body.json() as { job?: string, failureDomain?: string, error?: unknown }
-      if (answer.statusCode === 202 && body.job !== undefined) {
+      const body = await response.body.json() as { job?: string, failureDomain?: string, error?: unknown }
+      if (response.statusCode === 202 && body.job !== undefined) {
         job.identity = body.job
         job.failureDomain = body.failureDomain ?? ''
         job.state = 'waiting'
@@ -101,10 +101,10 @@
     }
   }
 
-  private async read (job: TrackedJob, address: string): Promise<void> {
+  private async readState (job: TrackedJob, address: string): Promise<void> {
     try {
-      const answer = await request(`${address}/jobs/${encodeURIComponent(job.identity)}`, { dispatcher: this.agent, headersTimeout: CALL_TIMEOUT_MILLISECONDS, bodyTimeout: CALL_TIMEOUT_MILLISECONDS })
-      const body = await answer.body.json() as { state?: string }
+      const response = await request(`${address}/jobs/${encodeURIComponent(job.identity)}`, { dispatcher: this.agent, headersTimeout: REQUEST_TIMEOUT_MILLISECONDS, bodyTimeout: REQUEST_TIMEOUT_MILLISECONDS })
+      const body = await response.body.json() as { state?: string }
       if (typeof body.state === 'string') job.state = body.state
     } catch {
       return
--- a/src/load/outcomeCheck.ts
+++ b/src/load/outcomeCheck.ts
@@ -2,18 +2,18 @@
 import type { JobResult } from './loadResult.js'
 import type { RequestOutcome } from './requestSender.js'
 
-/** What a run is checked against. */
+/** Outcomes of a run and the ledger that they are checked against. */
 export interface OutcomeCheckInput {
   readonly outcomes: readonly RequestOutcome[]
   readonly jobs: readonly JobResult[]
   readonly ledger: StandinLedger
-  /** Whether a service's requests may run twice without harm. */
+  /** Returns whether requests to a service may safely run more than once. */
   readonly isIdempotent: (service: string) => boolean
-  /** Whether the scenario switched faults: then refusals and unknown outcomes are expected, and idempotent requests may be retried. */
+  /** Whether the scenario injects faults. If so, refusals and unknown outcomes are expected, and idempotent requests may be retried. */
   readonly withFaults: boolean
 }
 
-/** Compares what callers were told with what executors and workers ran. Returns one line for each contradiction. */
+/** Compares the outcomes that callers received with the runs of executors and workers. Returns one line for each contradiction. */
 export function checkOutcomes (input: OutcomeCheckInput): string[] {
   return [...checkExecutors(input.ledger), ...checkRequests(input), ...checkKeys(input), ...checkWorkers(input), ...checkJobs(input)]
 }
@@ -28,36 +28,36 @@
 }
 
 function checkRequests ({ outcomes, ledger, isIdempotent, withFaults }: OutcomeCheckInput): string[] {
-  const runs = countBy(ledger.executors.flatMap(executor => executor.runs.map(run => run.request)))
+  const runCounts = countBy(ledger.executors.flatMap(executor => executor.runs.map(run => run.request)))
   const problems: string[] = []
   for (const outcome of outcomes) {
-    const ran = outcome.request === undefined ? undefined : runs.get(outcome.request) ?? 0
-    const mayRepeat = withFaults && isIdempotent(outcome.service)
-    if (outcome.isMismatched) problems.push(`request ${outcome.request} got the answer to another request`)
+    const runCount = outcome.request === undefined ? undefined : runCounts.get(outcome.request) ?? 0
+    const isRepeatAllowed = withFaults && isIdempotent(outcome.service)
+    if (outcome.isMismatched) problems.push(`request ${outcome.request} received the response to another request`)
     if (!withFaults && (outcome.kind === 'broken' || outcome.kind === 'mayHaveRun')) problems.push(`a request to ${outcome.service} ended as ${outcome.kind}`)
     if (outcome.kind === 'answered' && outcome.request === undefined) problems.push(`a request to ${outcome.service} was answered without an identity`)
-    if (ran === undefined) continue
-    if (ran > 1 && !mayRepeat) problems.push(`request ${outcome.request} to ${outcome.service} ran ${ran} times and was ${outcome.kind}`)
+    if (runCount === undefined) continue
+    if (runCount > 1 && !isRepeatAllowed) problems.push(`request ${outcome.request} to ${outcome.service} ran ${runCount} times and was ${outcome.kind}`)
     // A keyed request may be answered from the record of an earlier submission.
-    if (outcome.kind === 'answered' && outcome.status < 400 && ran === 0 && outcome.key === undefined) problems.push(`request ${outcome.request} was answered and ran 0 times`)
-    if (outcome.kind === 'notRun' && ran > 0) problems.push(`request ${outcome.request} was told notRun (${outcome.code}) and ran ${ran} times`)
+    if (outcome.kind === 'answered' && outcome.status < 400 && runCount === 0 && outcome.key === undefined) problems.push(`request ${outcome.request} was answered and ran 0 times`)
+    if (outcome.kind === 'notRun' && runCount > 0) problems.push(`request ${outcome.request} was reported as notRun (${outcome.code}) and ran ${runCount} times`)
   }
   return problems
 }
 
-/** A key of a request that may not run twice runs at most once over all submissions, and once if any of them was answered. */
+/** Checks that a non-idempotent request with a key ran at most once over all submissions, and exactly once if any of them was answered. */
 function checkKeys ({ outcomes, ledger, isIdempotent }: OutcomeCheckInput): string[] {
-  const runs = countBy(ledger.executors.flatMap(executor => executor.runs.flatMap(run => run.key ?? [])))
+  const runCounts = countBy(ledger.executors.flatMap(executor => executor.runs.flatMap(run => run.key ?? [])))
   const problems: string[] = []
-  const keyed = new Map<string, boolean>()
+  const answeredByKey = new Map<string, boolean>()
   for (const { key, service, kind, status } of outcomes) {
     if (key === undefined || isIdempotent(service)) continue
-    keyed.set(key, keyed.get(key) === true || (kind === 'answered' && status < 400))
+    answeredByKey.set(key, answeredByKey.get(key) === true || (kind === 'answered' && status < 400))
   }
-  for (const [key, answered] of keyed) {
-    const ran = runs.get(key) ?? 0
-    if (ran > 1) problems.push(`idempotency key ${key} ran ${ran} times`)
-    if (ran === 0 && answered) problems.push(`idempotency key ${key} was answered and ran 0 times`)
+  for (const [key, answered] of answeredByKey) {
+    const runCount = runCounts.get(key) ?? 0
+    if (runCount > 1) problems.push(`idempotency key ${key} ran ${runCount} times`)
+    if (runCount === 0 && answered) problems.push(`idempotency key ${key} was answered and ran 0 times`)
   }
   return problems
 }
@@ -67,26 +67,26 @@
   for (const { name, overcommittedStarts } of ledger.workers) {
     if (overcommittedStarts > 0) problems.push(`worker ${name} was overcommitted by ${overcommittedStarts} starts`)
   }
-  const runsOfTask = new Map<string, StandinLedger['workers'][number]['runs']>()
-  for (const run of ledger.workers.flatMap(worker => worker.runs)) runsOfTask.set(run.task, [...runsOfTask.get(run.task) ?? [], run])
-  for (const [task, runs] of runsOfTask) {
+  const runsByTask = new Map<string, StandinLedger['workers'][number]['runs']>()
+  for (const run of ledger.workers.flatMap(worker => worker.runs)) runsByTask.set(run.task, [...runsByTask.get(run.task) ?? [], run])
+  for (const [task, runs] of runsByTask) {
     const ordered = [...runs].sort((left, right) => left.startedAt - right.startedAt)
     const overlaps = ordered.some((run, index) => index > 0 && (ordered[index - 1]?.endedAt ?? Infinity) > run.startedAt)
     if (overlaps) problems.push(`task ${task} ran in two places at once`)
-    const finished = runs.filter(run => run.state === 'finished').length
-    if (finished > 1 && !withFaults) problems.push(`task ${task} finished ${finished} times`)
+    const finishedCount = runs.filter(run => run.state === 'finished').length
+    if (finishedCount > 1 && !withFaults) problems.push(`task ${task} finished ${finishedCount} times`)
   }
   return problems
 }
 
 function checkJobs ({ jobs, ledger, withFaults }: OutcomeCheckInput): string[] {
   const problems: string[] = []
-  const finishedTasks = countBy(new Set(ledger.workers.flatMap(worker => worker.runs.filter(run => run.state === 'finished').map(run => `${run.job}\n${run.task}`))), entry => entry.split('\n')[0] as string)
+  const finishedTaskCounts = countBy(new Set(ledger.workers.flatMap(worker => worker.runs.filter(run => run.state === 'finished').map(run => `${run.job}\n${run.task}`))), entry => entry.split('\n')[0] as string)
   for (const { job, name, kind, state, tasks } of jobs) {
     if (state === 'refused' && withFaults) continue
-    const expected = kind === 'service' ? 'running' : 'finished'
-    if (state !== expected) problems.push(`job ${name} is ${state}`)
-    else if (kind !== 'service' && (finishedTasks.get(job) ?? 0) !== tasks) problems.push(`job ${name} is finished, and ${finishedTasks.get(job) ?? 0} of its ${tasks} tasks are`)
+    const expectedState = kind === 'service' ? 'running' : 'finished'
+    if (state !== expectedState) problems.push(`job ${name} is ${state}`)
+    else if (kind !== 'service' && (finishedTaskCounts.get(job) ?? 0) !== tasks) problems.push(`job ${name} is finished, and ${finishedTaskCounts.get(job) ?? 0} of its ${tasks} tasks are`)
   }
   return problems
 }
--- a/test/load/outcomeCheck.test.ts
+++ b/test/load/outcomeCheck.test.ts
@@ -37,20 +37,20 @@
   readonly expected: readonly RegExp[]
 }
 
-/** Each case guards against a contradiction that the check would not see, or one that it would make up. */
+/** Each case guards against a contradiction that the check misses, or one that it reports falsely. */
 const CASES: readonly Case[] = [
   { name: 'an answered request that ran once', outcomes: [outcome({})], executors: [executor([['r1']])], expected: [] },
   { name: 'an answered request that did not run', outcomes: [outcome({})], expected: [/r1 was answered and ran 0 times/] },
   { name: 'a request that ran twice', outcomes: [outcome({})], executors: [executor([['r1'], ['r1']])], expected: [/r1 to booking ran 2 times/] },
   { name: 'an idempotent request that was retried under faults', withFaults: true, outcomes: [outcome({ service: 'lookup' })], executors: [executor([['r1'], ['r1']])], expected: [] },
   { name: 'an idempotent request that ran twice without faults', outcomes: [outcome({ service: 'lookup' })], executors: [executor([['r1'], ['r1']])], expected: [/ran 2 times/] },
-  { name: 'notRun that ran', withFaults: true, outcomes: [outcome({ kind: 'notRun', status: 503, code: 'queueFull' })], executors: [executor([['r1']])], expected: [/told notRun \(queueFull\) and ran 1 times/] },
+  { name: 'notRun that ran', withFaults: true, outcomes: [outcome({ kind: 'notRun', status: 503, code: 'queueFull' })], executors: [executor([['r1']])], expected: [/reported as notRun \(queueFull\) and ran 1 times/] },
   { name: 'an error of the executor that did not run', outcomes: [outcome({ status: 500 })], expected: [] },
   { name: 'an unknown outcome without faults', outcomes: [outcome({ kind: 'mayHaveRun', status: 502 })], expected: [/ended as mayHaveRun/] },
   { name: 'an unknown outcome under faults', withFaults: true, outcomes: [outcome({ kind: 'broken', request: undefined })], expected: [] },
-  { name: 'the answer to another request', outcomes: [outcome({ isMismatched: true })], executors: [executor([['r1']])], expected: [/r1 got the answer to another request/] },
+  { name: 'the response to another request', outcomes: [outcome({ isMismatched: true })], executors: [executor([['r1']])], expected: [/r1 received the response to another request/] },
   { name: 'a key that ran twice over two submissions', withFaults: true, outcomes: [outcome({ kind: 'broken', request: undefined, key: 'k' }), outcome({ request: 'r2', key: 'k' })], executors: [executor([['r1', 'k'], ['r2', 'k']])], expected: [/idempotency key k ran 2 times/] },
-  { name: 'a key answered from the record of an earlier submission', withFaults: true, outcomes: [outcome({ kind: 'broken', request: undefined, key: 'k' }), outcome({ request: 'r2', key: 'k' })], executors: [executor([['r1', 'k']])], expected: [] },
+  { name: 'a key answered from the stored response of an earlier submission', withFaults: true, outcomes: [outcome({ kind: 'broken', request: undefined, key: 'k' }), outcome({ request: 'r2', key: 'k' })], executors: [executor([['r1', 'k']])], expected: [] },
   { name: 'a key answered without a run', withFaults: true, outcomes: [outcome({ key: 'k' })], expected: [/idempotency key k was answered and ran 0 times/] },
   { name: 'more requests at once than slots', executors: [executor([], { maximumConcurrent: 9 })], expected: [/ran 9 requests at once with 8 slots/] },
   { name: 'more connections than the limit', executors: [executor([], { maximumConnections: 61 })], expected: [/had 61 connections at once; its limit is 60/] },
@@ -59,7 +59,7 @@
   { name: 'a finished job with a task that did not finish', runs: [taskRun({ state: 'stopped' })], jobs: [jobResult()], expected: [/0 of its 1 tasks are/] },
   { name: 'a service that runs', jobs: [jobResult({ kind: 'service', state: 'running' })], expected: [] },
   { name: 'a task that finished twice', runs: [taskRun({}), taskRun({ startedAt: 11, endedAt: 20 })], expected: [/finished 2 times/] },
-  { name: 'a task in two places at once', withFaults: true, runs: [taskRun({ state: 'stopped' }), taskRun({ startedAt: 9, endedAt: 20 })], expected: [/ran in two places at once/] },
+  { name: 'a task that runs in two places at once', withFaults: true, runs: [taskRun({ state: 'stopped' }), taskRun({ startedAt: 9, endedAt: 20 })], expected: [/ran in two places at once/] },
   { name: 'a task that still runs elsewhere', withFaults: true, runs: [taskRun({ state: 'running', endedAt: undefined }), taskRun({ startedAt: 9, endedAt: 20 })], expected: [/ran in two places at once/] },
   { name: 'an overcommitted worker', overcommittedStarts: 1, expected: [/worker w1 was overcommitted by 1 starts/] }
 ]
