--- a/src/standins/executorStandin.ts
+++ b/src/standins/executorStandin.ts
@@ -3,37 +3,37 @@
 import { createBrokenResponse, HttpStandin } from './httpStandin.js'
 import type { StandinContext } from './standinContext.js'
 
-/** Faults of an executor, switched by HTTP. */
+/** Faults of an executor, set over HTTP. */
 export interface ExecutorFaults {
-  /** Answers 500 at once, without running. */
+  /** Responds with status 500 at once, without running the request. */
   failEverything: boolean
-  /** Refuses with a statement that the request was not run. */
+  /** Rejects the request with the header that states that it was not run. */
   refuse: boolean
-  /** Runs the request, then breaks the connection before any answer. */
+  /** Runs the request, then breaks the connection before it responds. */
   loseAnswers: boolean
-  /** Answers a part of the body, then breaks the connection. */
+  /** Sends a part of the body, then breaks the connection. */
   cutBodies: boolean
-  /** Multiplies the time to serve. */
+  /** Multiplies the service time. */
   slowFactor: number
 }
 
 /** One request that an executor ran. */
 export interface ExecutorRun {
   readonly request: string
-  /** Idempotency key that the request carried. */
+  /** Idempotency key of the request. */
   readonly key: string | undefined
   readonly method: string
   readonly path: string
 }
 
-const BODY_PREVIEW_CHARACTERS = 200
+const ECHO_CHARACTERS = 200
 
-/** Executor with a bounded number of slots. It runs more than its slots if it is asked to, and records that. */
+/** Executor with a nominal number of slots. It doesn't enforce the limit, but records the peak concurrency, so that a check can detect violations. */
 export class ExecutorStandin extends HttpStandin {
   readonly faults: ExecutorFaults = { failEverything: false, refuse: false, loseAnswers: false, cutBodies: false, slowFactor: 1 }
   readonly runs: ExecutorRun[] = []
-  private concurrent = 0
-  private mostConcurrent = 0
+  private concurrentRuns = 0
+  private peakConcurrentRuns = 0
 
   constructor (private readonly context: StandinContext, readonly name: string, readonly slots: number, readonly connections: number, private readonly serviceMilliseconds: number) {
     super()
@@ -41,7 +41,7 @@
 
   /** Greatest number of requests that ran at once. */
   get maximumConcurrent (): number {
-    return this.mostConcurrent
+    return this.peakConcurrentRuns
   }
 
   async listen (host: string, port: number): Promise<void> {
@@ -57,15 +57,15 @@
     if (this.faults.failEverything) return new Response('failing on purpose', { status: 500 })
     if (this.faults.refuse) return new Response('refusing on purpose', { status: 503, headers: { 'request-not-run': '1' } })
     const body = await event.req.text()
-    this.concurrent += 1
-    this.mostConcurrent = Math.max(this.mostConcurrent, this.concurrent)
+    this.concurrentRuns += 1
+    this.peakConcurrentRuns = Math.max(this.peakConcurrentRuns, this.concurrentRuns)
     this.runs.push({ request, key, method: event.req.method, path: event.url.pathname })
     this.context.events.record('executorStarted', { request, executor: this.name })
     await delay(this.context.random.exponential(this.serviceMilliseconds * this.faults.slowFactor))
-    this.concurrent -= 1
+    this.concurrentRuns -= 1
     this.context.events.record('executorEnded', { request, executor: this.name })
     if (this.faults.loseAnswers) return createBrokenResponse()
     if (this.faults.cutBodies) return createBrokenResponse('{"request":')
-    return Response.json({ request, executor: this.name, path: event.url.pathname, echo: body.slice(0, BODY_PREVIEW_CHARACTERS) }, { headers: { 'vanillaturn-logical-time': String(this.context.events.clock.tick()) } })
+    return Response.json({ request, executor: this.name, path: event.url.pathname, echo: body.slice(0, ECHO_CHARACTERS) }, { headers: { 'vanillaturn-logical-time': String(this.context.events.clock.tick()) } })
   }
 }
--- a/src/standins/httpStandin.ts
+++ b/src/standins/httpStandin.ts
@@ -2,11 +2,11 @@
 import { serve, type H3 } from 'h3'
 import { DisposableObject, toDisposable } from '../base/disposable.js'
 
-/** Base of the stand-ins that listen for HTTP on their own port. */
+/** Base class of the stand-ins that serve HTTP on a port of their own. */
 export abstract class HttpStandin extends DisposableObject {
   private origin = ''
   private readonly sockets = new Set<Socket>()
-  private mostConnections = 0
+  private peakConnections = 0
 
   /** Address as an http origin. */
   get address (): string {
@@ -15,19 +15,19 @@
 
   /** Greatest number of connections that were open at once. */
   get maximumConnections (): number {
-    return this.mostConnections
+    return this.peakConnections
   }
 
   protected async startServer (app: H3, host: string, port: number): Promise<void> {
     const server = serve(app, { port, hostname: host, silent: true, gracefulShutdown: false })
     await server.ready()
-    const node = server.node?.server as unknown as Server
-    node.on('connection', (socket: Socket) => {
+    const nodeServer = server.node?.server as unknown as Server
+    nodeServer.on('connection', (socket: Socket) => {
       this.sockets.add(socket)
-      this.mostConnections = Math.max(this.mostConnections, this.sockets.size)
+      this.peakConnections = Math.max(this.peakConnections, this.sockets.size)
       socket.once('close', () => this.sockets.delete(socket))
     })
-    this.origin = `http://${host}:${(node.address() as AddressInfo).port}`
+    this.origin = `http://${host}:${(nodeServer.address() as AddressInfo).port}`
     this.register(toDisposable(() => { server.close(true) }))
   }
 
@@ -37,14 +37,14 @@
   }
 }
 
-/** An answer whose connection breaks before it is complete, as when a process dies while answering. */
+/** Creates a response whose connection breaks before it is complete, as if the process crashed while it responded. */
 export function createBrokenResponse (firstBytes?: string): Response {
   const body = new ReadableStream<Uint8Array>({
     start (controller) {
       if (firstBytes !== undefined) controller.enqueue(new TextEncoder().encode(firstBytes))
     },
     pull (controller) {
-      controller.error(new Error('the connection is broken on purpose'))
+      controller.error(new Error('connection broken by an injected fault'))
     }
   })
   return new Response(body)
--- a/src/standins/workerStandin.ts
+++ b/src/standins/workerStandin.ts
@@ -5,15 +5,15 @@
 import { createBrokenResponse, HttpStandin } from './httpStandin.js'
 import type { StandinContext } from './standinContext.js'
 
-/** Faults of a worker, switched by HTTP. */
+/** Faults of a worker, set over HTTP. */
 export interface WorkerFaults {
-  /** Every task fails right after its start. */
+  /** Every task fails immediately after its start. */
   failEverything: boolean
-  /** Answers nothing, as behind a partition; tasks go on under their leases. */
+  /** Does not respond, as if partitioned from the network; tasks continue until their leases expire. */
   silent: boolean
-  /** Does what it is told, then breaks the connection before the answer. */
+  /** Executes commands, then breaks the connection before it responds. */
   loseAnswers: boolean
-  /** Tasks of jobs whose name starts with this fail right after their start; nothing fails if it is empty. */
+  /** Tasks of jobs whose name has this prefix fail immediately after their start. An empty prefix disables the fault. */
   failJobsNamed: string
 }
 
@@ -30,23 +30,23 @@
 interface StandinTask {
   readonly command: StartTask
   readonly run: TaskRun
-  /** Progress in milliseconds of run time at full speed, as of `progressAt`. */
-  progress: number
-  progressAt: number
+  /** Progress in run time at full speed, as of `progressUpdatedAt`. */
+  progressMilliseconds: number
+  progressUpdatedAt: number
   checkpointMilliseconds: number
   throttlePercent: number
   leaseTimer: NodeJS.Timeout | undefined
   endTimer: NodeJS.Timeout | undefined
 }
 
-/** Worker that runs tasks under leases and starts what it is given, whether it fits or not. */
+/** Worker that runs tasks under leases. It starts every task that it receives, even if the task exceeds its capacity, and counts such starts. */
 export class WorkerStandin extends HttpStandin {
   readonly faults: WorkerFaults = { failEverything: false, silent: false, loseAnswers: false, failJobsNamed: '' }
   readonly runs: TaskRun[] = []
   private readonly tasks = new Map<string, StandinTask>()
   private term = 0
-  private overcommitted = 0
-  private most = NO_RESOURCES
+  private overcommittedStartCount = 0
+  private peakUse = NO_RESOURCES
 
   constructor (private readonly context: StandinContext, readonly name: string, readonly incarnation: string, readonly capacity: Resources) {
     super()
@@ -57,19 +57,19 @@
 
   /** Number of starts after which the running tasks exceeded the capacity. */
   get overcommittedStarts (): number {
-    return this.overcommitted
+    return this.overcommittedStartCount
   }
 
-  /** Greatest sum of resources of running tasks. */
+  /** Peak of the resources of running tasks, for each resource. */
   get mostUsed (): Resources {
-    return this.most
+    return this.peakUse
   }
 
   async listen (host: string, port: number): Promise<void> {
     const app = new H3()
     app.put('/tasks/:task', async event => await this.onStart(event))
     app.post('/tasks/:task/:action', async event => await this.onAction(event))
-    app.post('/leases', async event => await this.onRenew(event))
+    app.post('/leases', async event => await this.onRenewLeases(event))
     await this.startServer(app, host, port)
   }
 
@@ -82,9 +82,9 @@
     this.term = command.term
     this.context.events.clock.observe(command.logicalTime)
     const name = decodeURIComponent(event.context.params?.task ?? '')
-    const known = this.tasks.get(name)
-    if (known !== undefined && compareAttempts(command.attempt, known.command.attempt) < 0) return new Response('stale attempt', { status: 409 })
-    if (known === undefined || compareAttempts(command.attempt, known.command.attempt) > 0) this.run(name, command)
+    const existing = this.tasks.get(name)
+    if (existing !== undefined && compareAttempts(command.attempt, existing.command.attempt) < 0) return new Response('stale attempt', { status: 409 })
+    if (existing === undefined || compareAttempts(command.attempt, existing.command.attempt) > 0) this.startTask(name, command)
     if (this.faults.loseAnswers) return createBrokenResponse()
     return Response.json({ logicalTime: this.context.events.clock.tick() })
   }
@@ -97,12 +97,12 @@
     this.context.events.clock.observe(parsed.data.logicalTime)
     const task = this.tasks.get(decodeURIComponent(event.context.params?.task ?? ''))
     if (task === undefined || compareAttempts(parsed.data.attempt, task.command.attempt) !== 0) return new Response('unknown attempt', { status: 404 })
-    this.act(task, event.context.params?.action as TaskActionName, parsed.data.throttlePercent)
+    this.applyAction(task, event.context.params?.action as TaskActionName, parsed.data.throttlePercent)
     if (this.faults.loseAnswers) return createBrokenResponse()
     return Response.json({ logicalTime: this.context.events.clock.tick() })
   }
 
-  private async onRenew (event: H3Event): Promise<Response> {
+  private async onRenewLeases (event: H3Event): Promise<Response> {
     if (this.faults.silent) return createBrokenResponse()
     const parsed = renewLeasesSchema.safeParse(await event.req.json().catch(() => undefined))
     if (!parsed.success) return new Response('malformed renewal', { status: 400 })
@@ -111,18 +111,18 @@
     this.term = renewal.term
     this.context.events.clock.observe(renewal.logicalTime)
     for (const { task, attempt } of renewal.tasks) {
-      const known = this.tasks.get(task)
-      if (known !== undefined && known.run.state === 'running' && compareAttempts(known.command.attempt, attempt) === 0) this.startLease(known, renewal.leaseMilliseconds)
+      const existing = this.tasks.get(task)
+      if (existing !== undefined && existing.run.state === 'running' && compareAttempts(existing.command.attempt, attempt) === 0) this.startLease(existing, renewal.leaseMilliseconds)
     }
     for (const { task, attempt } of renewal.acknowledged) {
-      const known = this.tasks.get(task)
-      if (known !== undefined && known.run.state !== 'running' && compareAttempts(known.command.attempt, attempt) === 0) this.tasks.delete(task)
+      const existing = this.tasks.get(task)
+      if (existing !== undefined && existing.run.state !== 'running' && compareAttempts(existing.command.attempt, attempt) === 0) this.tasks.delete(task)
     }
     if (this.faults.loseAnswers) return createBrokenResponse()
-    return Response.json(this.report())
+    return Response.json(this.createReport())
   }
 
-  private report (): WorkerReport {
+  private createReport (): WorkerReport {
     const tasks = [...this.tasks].map(([task, entry]): ReportedTask => ({
       task,
       attempt: entry.command.attempt,
@@ -136,60 +136,60 @@
     return { worker: this.name, incarnation: this.incarnation, term: this.term, tasks, logicalTime: this.context.events.clock.tick() }
   }
 
-  private run (name: string, command: StartTask): void {
+  private startTask (name: string, command: StartTask): void {
     const previous = this.tasks.get(name)
-    if (previous?.run.state === 'running') this.end(previous, 'stopped')
+    if (previous?.run.state === 'running') this.endTask(previous, 'stopped')
     const now = performance.now()
     const run: TaskRun = { task: name, job: command.job, attempt: command.attempt, startedAt: now, endedAt: undefined, state: 'running' }
-    const task: StandinTask = { command, run, progress: command.resumeFromMilliseconds, progressAt: now, checkpointMilliseconds: command.resumeFromMilliseconds, throttlePercent: 100, leaseTimer: undefined, endTimer: undefined }
+    const task: StandinTask = { command, run, progressMilliseconds: command.resumeFromMilliseconds, progressUpdatedAt: now, checkpointMilliseconds: command.resumeFromMilliseconds, throttlePercent: 100, leaseTimer: undefined, endTimer: undefined }
     this.runs.push(run)
     this.tasks.set(name, task)
     this.context.events.record('taskStarted', { task: name, job: command.job, worker: this.name, term: command.term })
     this.startLease(task, command.leaseMilliseconds)
-    this.noteUse()
+    this.recordResourceUse()
     const { failEverything, failJobsNamed } = this.faults
-    if (failEverything || (failJobsNamed !== '' && command.name.startsWith(failJobsNamed))) this.end(task, 'failed')
-    else this.scheduleEnd(task)
+    if (failEverything || (failJobsNamed !== '' && command.name.startsWith(failJobsNamed))) this.endTask(task, 'failed')
+    else this.scheduleCompletion(task)
   }
 
-  private act (task: StandinTask, action: TaskActionName, throttlePercent: number | undefined): void {
+  private applyAction (task: StandinTask, action: TaskActionName, throttlePercent: number | undefined): void {
     if (task.run.state !== 'running') return
-    if (action === 'stop') this.end(task, 'stopped')
+    if (action === 'stop') this.endTask(task, 'stopped')
     if (action === 'throttle') {
-      this.noteProgress(task)
+      this.updateProgress(task)
       task.throttlePercent = throttlePercent ?? 100
-      this.scheduleEnd(task)
+      this.scheduleCompletion(task)
     }
     if (action === 'checkpoint' && task.command.checkpointable) {
-      this.noteProgress(task)
-      task.checkpointMilliseconds = task.progress
-      this.end(task, 'checkpointed')
+      this.updateProgress(task)
+      task.checkpointMilliseconds = task.progressMilliseconds
+      this.endTask(task, 'checkpointed')
     }
   }
 
-  /** Adds the progress since it was last noted, at the speed that the throttle allows. */
-  private noteProgress (task: StandinTask): void {
+  /** Adds the progress since the last update, at the speed that the throttle allows. */
+  private updateProgress (task: StandinTask): void {
     const now = performance.now()
-    task.progress += (now - task.progressAt) * task.throttlePercent / 100
-    task.progressAt = now
+    task.progressMilliseconds += (now - task.progressUpdatedAt) * task.throttlePercent / 100
+    task.progressUpdatedAt = now
   }
 
-  private scheduleEnd (task: StandinTask): void {
+  private scheduleCompletion (task: StandinTask): void {
     clearTimeout(task.endTimer)
     const { runMilliseconds } = task.command
     if (runMilliseconds === undefined || task.throttlePercent === 0) return
-    task.endTimer = setTimeout(() => this.end(task, 'finished'), Math.max(1, (runMilliseconds - task.progress) * 100 / task.throttlePercent))
+    task.endTimer = setTimeout(() => this.endTask(task, 'finished'), Math.max(1, (runMilliseconds - task.progressMilliseconds) * 100 / task.throttlePercent))
   }
 
   private startLease (task: StandinTask, leaseMilliseconds: number): void {
     clearTimeout(task.leaseTimer)
     task.leaseTimer = setTimeout(() => {
       this.context.events.record('leaseLapsed', { task: task.run.task, job: task.run.job, worker: this.name })
-      this.end(task, 'leaseLapsed')
+      this.endTask(task, 'leaseLapsed')
     }, leaseMilliseconds)
   }
 
-  private end (task: StandinTask, state: TaskState): void {
+  private endTask (task: StandinTask, state: TaskState): void {
     if (task.run.state !== 'running') return
     this.clearTimers(task)
     task.run.state = state
@@ -197,16 +197,16 @@
     this.context.events.record('taskEnded', { task: task.run.task, job: task.run.job, worker: this.name, detail: state })
   }
 
-  private noteUse (): void {
+  private recordResourceUse (): void {
     let sum = NO_RESOURCES
     for (const task of this.tasks.values()) {
       if (task.run.state === 'running') sum = addResources(sum, task.command.resources)
     }
-    if (!fitsWithin(sum, this.capacity)) this.overcommitted += 1
-    this.most = {
-      processorsThousandths: Math.max(this.most.processorsThousandths, sum.processorsThousandths),
-      memoryBytes: Math.max(this.most.memoryBytes, sum.memoryBytes),
-      accelerators: Math.max(this.most.accelerators, sum.accelerators)
+    if (!fitsWithin(sum, this.capacity)) this.overcommittedStartCount += 1
+    this.peakUse = {
+      processorsThousandths: Math.max(this.peakUse.processorsThousandths, sum.processorsThousandths),
+      memoryBytes: Math.max(this.peakUse.memoryBytes, sum.memoryBytes),
+      accelerators: Math.max(this.peakUse.accelerators, sum.accelerators)
     }
   }
 
