--- a/bench/main.ts
+++ b/bench/main.ts
@@ -12,9 +12,9 @@
   decisions: () => runSchedulingBench(SEED)
 }
 
-/** Runs the parts that are named on the command line, or all. */
-const chosen = process.argv.slice(2)
+/** Runs the benchmarks named on the command line, or all of them. */
+const selected = process.argv.slice(2)
 process.stdout.write(`seed ${SEED}\n`)
 for (const [name, run] of Object.entries(BENCHES)) {
-  if (chosen.length === 0 || chosen.includes(name)) run()
+  if (selected.length === 0 || selected.includes(name)) run()
 }
--- a/bench/measure.ts
+++ b/bench/measure.ts
@@ -2,9 +2,9 @@
 import type { AddressInfo, Socket } from 'node:net'
 
 /** Garbage collector, exposed by `node --expose-gc`. */
-const collect = (globalThis as { gc?: () => void }).gc
+const collectGarbage = (globalThis as { gc?: () => void }).gc
 
-/** Median of the processor time in milliseconds that `work` takes. */
+/** Returns the median processor time of `work` in milliseconds. */
 export async function medianProcessorMilliseconds (runs: number, work: () => void | Promise<void>): Promise<number> {
   const times: number[] = []
   for (let run = 0; run < runs; run += 1) {
@@ -16,7 +16,7 @@
   return median(times)
 }
 
-/** Median of the wall-clock time in milliseconds of synchronous work; `prepare` is not timed. */
+/** Returns the median wall-clock time of synchronous `work` in milliseconds; `prepare` is not timed. */
 export function medianMilliseconds<T> (runs: number, prepare: () => T, work: (prepared: T) => void): number {
   const times: number[] = []
   for (let run = 0; run < runs; run += 1) {
@@ -28,17 +28,17 @@
   return median(times)
 }
 
-/** Bytes of heap that what `build` returns keeps. */
+/** Returns the heap bytes retained by the value that `build` returns. */
 export function retainedBytes (build: () => unknown): number {
-  if (collect === undefined) throw new Error('run with node --expose-gc')
-  // The first build compiles code and fills caches, which would count as kept.
+  if (collectGarbage === undefined) throw new Error('run with node --expose-gc')
+  // The first build compiles code and fills caches, which would otherwise count as retained.
   build()
-  collect()
+  collectGarbage()
   const before = process.memoryUsage().heapUsed
-  const kept = build()
-  collect()
+  const retained = build()
+  collectGarbage()
   const after = process.memoryUsage().heapUsed
-  return kept === undefined ? 0 : after - before
+  return retained === undefined ? 0 : after - before
 }
 
 /** Prints a row of a table with columns of equal width. */
@@ -50,13 +50,13 @@
   process.stdout.write(`\n${title}\n`)
 }
 
-/** An HTTP server on a port of the system that counts the bytes on its sockets. */
+/** HTTP server on an ephemeral port that counts the bytes on its sockets. */
 export class ByteCountingServer {
   private readonly sockets = new Set<Socket>()
   private readonly server: Server
 
-  constructor (answer: (request: IncomingMessage, response: ServerResponse) => void) {
-    this.server = createServer(answer)
+  constructor (handleRequest: (request: IncomingMessage, response: ServerResponse) => void) {
+    this.server = createServer(handleRequest)
     this.server.on('connection', socket => this.sockets.add(socket))
   }
 
@@ -65,7 +65,7 @@
     return `http://127.0.0.1:${(this.server.address() as AddressInfo).port}`
   }
 
-  /** Bytes received and sent so far. */
+  /** Number of bytes received and sent so far. */
   get bytes (): number {
     let sum = 0
     for (const socket of this.sockets) sum += socket.bytesRead + socket.bytesWritten
--- a/bench/schedulingSite.ts
+++ b/bench/schedulingSite.ts
@@ -8,7 +8,7 @@
 
 const GIGABYTE = 2 ** 30
 
-/** A scheduler with workers that do what they are told at once. Only calls of the scheduler are timed. */
+/** Scheduler with simulated workers that execute commands immediately. Only calls of the scheduler are timed. */
 export class SchedulingSite {
   readonly scheduler: Scheduler
   readonly random: Random
@@ -29,7 +29,7 @@
     }
   }
 
-  /** Adds jobs of one task each, of random sizes in steps of 0.1 processors and 128 MB. */
+  /** Adds jobs of one task each, with random sizes in steps of 0.1 processors and 128 MB. Returns their identities. */
   submit (count: number): string[] {
     return Array.from({ length: count }, () => {
       const identity = `job-${this.jobs++}`
@@ -40,7 +40,7 @@
     })
   }
 
-  /** Decides once, carries the decisions out and returns the processor time of the decision in milliseconds, which a busy machine distorts less than elapsed time. */
+  /** Decides once, executes the decisions and returns the processor time of the decision in milliseconds, which a busy machine distorts less than elapsed time. */
   decide (limit: number): number {
     this.now += 100
     const before = process.cpuUsage()
@@ -51,7 +51,7 @@
     return elapsed
   }
 
-  /** Ends running tasks of random workers. */
+  /** Finishes running tasks of random workers. */
   finish (count: number): void {
     for (let index = 0; index < count; index += 1) {
       const name = this.random.pick(this.workers)
@@ -79,7 +79,7 @@
   }
 }
 
-/** Three sizes of workers; a fifth of them have accelerators. */
+/** Returns one of three worker sizes; a fifth of the workers have accelerators. */
 function capacityOf (index: number): Resources {
   if (index % 5 === 0) return { processorsThousandths: 64_000, memoryBytes: 128 * GIGABYTE, accelerators: 2 }
   return index % 2 === 0 ? { processorsThousandths: 16_000, memoryBytes: 64 * GIGABYTE, accelerators: 0 } : { processorsThousandths: 32_000, memoryBytes: 64 * GIGABYTE, accelerators: 0 }
