--- a/src/programs/embeddedSite.ts
+++ b/src/programs/embeddedSite.ts
@@ -63,7 +63,7 @@
   /** Compares the responses to callers with what executors and workers ran. Returns one line for each contradiction. */
   checkOutcomes (result: LoadResult, scenario: Scenario): string[] {
     const isIdempotent = (service: string): boolean => this.configuration.services[service]?.idempotent ?? false
-    return checkOutcomes({ outcomes: this.runner?.outcomes ?? [], jobs: result.jobs, ledger: this.standin.ledger(), isIdempotent, withFaults: scenario.faults.length > 0 })
+    return checkOutcomes({ outcomes: this.runner?.outcomes ?? [], jobs: result.jobs, ledger: this.standin.createLedger(), isIdempotent, withFaults: scenario.faults.length > 0 })
   }
 
   async stop (): Promise<void> {
@@ -79,7 +79,7 @@
     }, this.sink)
     const ports = await instance.start()
     const callerAddress = `http://${HOST}:${ports.callers}`
-    this.standin.list({ kind: 'entry', name, failureDomain, address: `ws://${HOST}:${ports.links}`, callerAddress, state: 'live' })
+    this.standin.addInstance({ kind: 'entry', name, failureDomain, address: `ws://${HOST}:${ports.links}`, callerAddress, state: 'live' })
     this.instances.push(instance)
     this.callerAddresses.push(callerAddress)
   }
--- a/test/soak/loopbackStandin.ts
+++ b/test/soak/loopbackStandin.ts
@@ -1,5 +1,5 @@
 import { H3 } from 'h3'
-import { HttpStandin } from '../../src/standins/httpServer.js'
+import { HttpStandin } from '../../src/standins/httpStandin.js'
 
 export const LOOPBACK = '127.0.0.1'
 
@@ -27,7 +27,7 @@
       const { status, body } = await this.answer({ url, headers: req.headers, body: Buffer.from(await req.arrayBuffer()) })
       return new Response(Buffer.isBuffer(body) ? new Uint8Array(body) : JSON.stringify(body), { status })
     })
-    await this.listenFor(app, LOOPBACK, 0)
+    await this.startServer(app, LOOPBACK, 0)
     return this
   }
 
