--- a/test/cluster/activeScheduler.test.ts
+++ b/test/cluster/activeScheduler.test.ts
@@ -11,7 +11,7 @@
 import type { ClusterConfiguration } from '../../src/contracts/clusterConfiguration.js'
 import { encodeRecord } from '../../src/contracts/clusterRecords.js'
 import { stepJobSchema } from '../../src/contracts/stepJob.js'
-import { FakeWorker, FakeWorkerPort, type OrderFault } from '../fakes/fakeClusterWorkers.js'
+import { FakeWorker, FakeWorkerPort, type CommandFault } from '../fakes/fakeClusterWorkers.js'
 import { FakeRecordLog, type LogFault } from '../fakes/fakeRecordLog.js'
 import { itUnlessKnownRed } from '../knownRed.js'
 
@@ -98,7 +98,7 @@
   }
 
   /** Commands of unknown outcome: the state of the run is determined before its capacity or its task is used again. */
-  const ORDER_FAULTS: readonly OrderFault[] = ['answerLost', 'notDelivered', 'late', 'unhealthy']
+  const ORDER_FAULTS: readonly CommandFault[] = ['answerLost', 'notDelivered', 'late', 'unhealthy']
   for (const fault of ORDER_FAULTS) {
     it(`neither overcommits nor runs a task twice after commands with fault ${fault}`, async () => await withSite(async (site, start) => {
       const workers = ['w1', 'w2'].map(name => site.port.add(new FakeWorker(name, 1, () => 5000)))
--- a/test/fakes/fakeClusterWorkers.ts
+++ b/test/fakes/fakeClusterWorkers.ts
@@ -1,7 +1,7 @@
 import { WorkerPort, type EndKind, type EndReport, type PollRequest, type PollOutcome, type CommandOutcome, type StartCommand, type WorkerAddress, type WorkerEntry } from '../../src/cluster/workerPort.js'
 
 /** What a fake worker does with the next orders: answers, carries out without an answer, drops, or refuses as unhealthy or for want of a valid ticket. */
-export type OrderFault = 'none' | 'answerLost' | 'notDelivered' | 'late' | 'unhealthy' | 'ticket'
+export type CommandFault = 'none' | 'answerLost' | 'notDelivered' | 'late' | 'unhealthy' | 'ticket'
 
 /** Longest lease that a worker grants, in milliseconds on its clock. */
 const LONGEST_LEASE_MILLISECONDS = 6000
@@ -40,7 +40,7 @@
   /** How long a run goes on after its stop. */
   stopMilliseconds = 0
   isReachable = true
-  fault: OrderFault = 'none'
+  fault: CommandFault = 'none'
   /** How runs end by themselves. */
   endKind: EndKind = 'done'
   state: WorkerEntry['state'] = 'ready'
