--- a/test/fakes/fakeCluster.ts
+++ b/test/fakes/fakeCluster.ts
@@ -106,7 +106,7 @@
 
   override async poll ({ identity }: WorkerAddress, order: PollRequest): Promise<PollOutcome> {
     const sent = this.isStillConnected(identity) ? order : { ...order, acknowledgedEnd: 0 }
-    const outcome = await this.call<PollOutcome>(identity, async worker => await worker.look(sent), LOOK_SLACK_MILLISECONDS + order.waitMilliseconds, { kind: 'failed', reason: 'timed out' })
+    const outcome = await this.call<PollOutcome>(identity, async worker => await worker.poll(sent), LOOK_SLACK_MILLISECONDS + order.waitMilliseconds, { kind: 'failed', reason: 'timed out' })
     if (order.isInSequence && outcome.kind === 'report') this.connectedTo.set(identity, outcome.report.bornAt)
     return outcome
   }
--- a/test/fakes/fakeClusterWorkers.ts
+++ b/test/fakes/fakeClusterWorkers.ts
@@ -79,7 +79,7 @@
     this.bornAt += 1
   }
 
-  async look (order: PollRequest): Promise<PollOutcome> {
+  async poll (order: PollRequest): Promise<PollOutcome> {
     this.looks += 1
     if (!this.isReachable) return await afterMilliseconds(order.waitMilliseconds + 600, { kind: 'failed', reason: 'timed out' })
     if (order.term < this.term) return { kind: 'fenced' }
@@ -213,7 +213,7 @@
   }
 
   override async poll (worker: WorkerAddress, order: PollRequest): Promise<PollOutcome> {
-    return await this.of(worker).look(order)
+    return await this.of(worker).poll(order)
   }
 
   override async start (worker: WorkerAddress, order: StartCommand): Promise<CommandOutcome> {
--- a/test/soak/workerStandin.ts
+++ b/test/soak/workerStandin.ts
@@ -22,7 +22,7 @@
     if (headers.get('vanillaturn-target-instance') !== worker.identity) return MISDIRECTED
     const order = JSON.parse(body.toString())
     switch (url.pathname) {
-      case '/v1/hold': return encodeLook(await worker.look({ term: order.fence, acknowledgedEnd: order.seenUpto, isInSequence: true, leaseUntil: order.expiresAtMs, waitMilliseconds: order.waitMs ?? 0 }), worker.clock)
+      case '/v1/hold': return encodeLook(await worker.poll({ term: order.fence, acknowledgedEnd: order.seenUpto, isInSequence: true, leaseUntil: order.expiresAtMs, waitMilliseconds: order.waitMs ?? 0 }), worker.clock)
       case '/v1/run-start': return encodeOrder(await worker.start({ task: order.task, run: order.run, specification: order.spec, leaseUntil: order.expiresAtMs, term: order.fence, checkpoint: order.checkpointId ?? '', ticket: order.ticket ?? '' }), worker.clock)
       case '/v1/run-stop': return encodeOrder(await worker.stop(order.task, order.run, order.fence), worker.clock)
       default: return { status: 404, body: {} }
