--- a/test/cluster/activeScheduler.test.ts
+++ b/test/cluster/activeScheduler.test.ts
@@ -447,13 +447,13 @@
     site.log.write(TOPICS.submissions, cancelKey(JOB), Buffer.from([1]))
     await site.clock.tickAsync(100)
     former.dispose()
-    worker.looks = 0
+    worker.pollCount = 0
     worker.stops = 0
     start(2)
     await site.clock.tickAsync(3000)
     assert.equal(worker.running.size, 0)
     assert.equal(worker.stops, 1)
-    assert.ok(worker.looks < 40, `${worker.looks} polls`)
+    assert.ok(worker.pollCount < 40, `${worker.pollCount} polls`)
   }))
 
   it('stops the runs of a cancelled job and shows it as cancelled', async () => await withSite(async (site, start) => {
@@ -493,7 +493,7 @@
     submit(site.log, JOB, [step({ count: 10 })])
     await site.clock.tickAsync(15_000)
     assert.equal(scheduler.stateOf(JOB), 'completed')
-    assert.ok(worker.looks <= 3 * 10, `${worker.looks} polls`)
+    assert.ok(worker.pollCount <= 3 * 10, `${worker.pollCount} polls`)
   }))
 
   it('returns no number of waiting jobs while submissions cannot be read', async () => await withSite(async (site, start) => {
--- a/test/fakes/fakeClusterWorkers.ts
+++ b/test/fakes/fakeClusterWorkers.ts
@@ -35,7 +35,7 @@
   term = 0
   leaseEnd = 0
   acknowledgedEnd = 0
-  looks = 0
+  pollCount = 0
   stops = 0
   /** How long a run goes on after its stop. */
   stopMilliseconds = 0
@@ -80,7 +80,7 @@
   }
 
   async poll (order: PollRequest): Promise<PollOutcome> {
-    this.looks += 1
+    this.pollCount += 1
     if (!this.isReachable) return await afterMilliseconds(order.waitMilliseconds + 600, { kind: 'failed', reason: 'timed out' })
     if (order.term < this.term) return { kind: 'fenced' }
     this.term = order.term
