--- a/test/cluster/activeScheduler.test.ts
+++ b/test/cluster/activeScheduler.test.ts
@@ -317,7 +317,7 @@
     await site.clock.tickAsync(3000)
     assert.equal(scheduler.stateOf('00000000000000bb'), 'completed')
     assert.deepEqual(worker.started, ['00000000000000bb.0.0.0/1'])
-    assert.equal(worker.stops, 0)
+    assert.equal(worker.stopCount, 0)
   }))
 
   /** A former scheduler continues to place jobs until it is fenced, including jobs that its successor has not read yet. */
@@ -332,7 +332,7 @@
     site.log.appendMilliseconds = 0
     await site.clock.tickAsync(6000)
     assert.deepEqual(worker.started, [`${JOB}.0.0.0/1`])
-    assert.equal(worker.stops, 0)
+    assert.equal(worker.stopCount, 0)
     assert.equal(successor.stateOf(JOB), 'completed')
   }))
 
@@ -448,11 +448,11 @@
     await site.clock.tickAsync(100)
     former.dispose()
     worker.pollCount = 0
-    worker.stops = 0
+    worker.stopCount = 0
     start(2)
     await site.clock.tickAsync(3000)
     assert.equal(worker.running.size, 0)
-    assert.equal(worker.stops, 1)
+    assert.equal(worker.stopCount, 1)
     assert.ok(worker.pollCount < 40, `${worker.pollCount} polls`)
   }))
 
--- a/test/fakes/fakeClusterWorkers.ts
+++ b/test/fakes/fakeClusterWorkers.ts
@@ -36,7 +36,7 @@
   leaseEnd = 0
   acknowledgedEnd = 0
   pollCount = 0
-  stops = 0
+  stopCount = 0
   /** How long a run goes on after its stop. */
   stopMilliseconds = 0
   isReachable = true
@@ -146,7 +146,7 @@
   private carryOutStop (task: string, run: number, term: number): CommandOutcome {
     if (term < this.term) return { kind: 'fenced' }
     this.term = term
-    this.stops += 1
+    this.stopCount += 1
     this.stoppedRuns.set(task, Math.max(run, this.stoppedRuns.get(task) ?? 0))
     if (this.stopMilliseconds === 0) this.endIfRunning(task, run, 'stopped')
     else setTimeout(() => this.endIfRunning(task, run, 'stopped'), this.stopMilliseconds)
