--- a/test/fakes/fakeClusterWorkers.ts
+++ b/test/fakes/fakeClusterWorkers.ts
@@ -55,7 +55,7 @@
   private readonly waiters = new Set<() => void>()
 
   /** `durationMilliseconds`: how long a run goes on; one of `Infinity` ends only through `endIfRunning`. */
-  constructor (readonly identity: string, readonly room: number, private readonly durationMilliseconds: (task: string) => number) {}
+  constructor (readonly identity: string, readonly capacity: number, private readonly durationMilliseconds: (task: string) => number) {}
 
   /** The worker's own steady clock, in milliseconds. */
   get clock (): number {
@@ -63,7 +63,7 @@
   }
 
   get entry (): WorkerEntry {
-    return { identity: this.identity, pool: 'pool', address: `${this.identity}:1`, failureDomain: 'a', state: this.state, processorsThousandths: this.room * 1000, memoryMegabytes: 1_000_000, accelerators: 0, labels: ['kind', 'rack'], bornAt: this.bornAt }
+    return { identity: this.identity, pool: 'pool', address: `${this.identity}:1`, failureDomain: 'a', state: this.state, processorsThousandths: this.capacity * 1000, memoryMegabytes: 1_000_000, accelerators: 0, labels: ['kind', 'rack'], bornAt: this.bornAt }
   }
 
   /** The process ends and starts again under the same identity. */
@@ -130,7 +130,7 @@
     if (order.run <= (this.stoppedRuns.get(order.task) ?? 0)) return { kind: 'refused', reason: 'old' }
     if (this.running.get(order.task)?.run === order.run) return { kind: 'done' }
     this.observer?.onDidStart(this, order.task, order.run)
-    if (this.running.size >= this.room) this.overcommitted.push(`${order.task}/${order.run}`)
+    if (this.running.size >= this.capacity) this.overcommitted.push(`${order.task}/${order.run}`)
     this.started.push(`${order.task}/${order.run}`)
     const duration = this.durationMilliseconds(order.task)
     this.running.set(order.task, { task: order.task, run: order.run, startedAt: performance.now(), endsAt: performance.now() + duration })
--- a/test/fuzz/clusterOracle.ts
+++ b/test/fuzz/clusterOracle.ts
@@ -48,7 +48,7 @@
       const present = other.running.get(task)
       if (present !== undefined) this.note(`RunsOnce: ${start} was started while run ${present.run} was on ${other.identity}`)
     }
-    if (worker.running.size >= worker.room) this.note(`WithinRoom: ${start} was started beside ${worker.running.size} others`)
+    if (worker.running.size >= worker.capacity) this.note(`WithinRoom: ${start} was started beside ${worker.running.size} others`)
     for (const end of this.done.get(task) ?? []) {
       if (end.isAcknowledged) this.note(`RunsOnce: ${start} was started after the end of run ${end.run} was acknowledged`)
       end.startedAfter ??= start
