--- a/test/fakes/fakeCluster.ts
+++ b/test/fakes/fakeCluster.ts
@@ -176,8 +176,8 @@
     if (members.length > 0 && end.kind !== 'done') this.timers.after(0, () => this.endAll(members, end.run, 'broken'))
   }
 
-  onDidForget (worker: FakeWorker, end: EndReport): void {
-    this.observer.onDidForget(worker, end)
+  onDidAcknowledgeEnd (worker: FakeWorker, end: EndReport): void {
+    this.observer.onDidAcknowledgeEnd(worker, end)
   }
 
   private areAllPresent (members: readonly string[], run: number): boolean {
--- a/test/fakes/fakeClusterWorkers.ts
+++ b/test/fakes/fakeClusterWorkers.ts
@@ -11,7 +11,7 @@
   onDidStart (worker: FakeWorker, task: string, run: number): void
   onDidEnd (worker: FakeWorker, end: EndReport): void
   /** An end was acknowledged, and is listed no more. */
-  onDidForget (worker: FakeWorker, end: EndReport): void
+  onDidAcknowledgeEnd (worker: FakeWorker, end: EndReport): void
 }
 
 interface FakeRun {
@@ -163,7 +163,7 @@
     this.ended.push(end)
     this.observer?.onDidEnd(this, end)
     // The scheduler has already told this process to forget it.
-    if (this.endCount <= this.acknowledgedEnd) this.observer?.onDidForget(this, end)
+    if (this.endCount <= this.acknowledgedEnd) this.observer?.onDidAcknowledgeEnd(this, end)
     for (const wake of [...this.waiters]) wake()
   }
 
@@ -181,7 +181,7 @@
   private forget (end: number): void {
     if (end <= this.acknowledgedEnd) return
     for (const report of this.ended) {
-      if (report.number > this.acknowledgedEnd && report.number <= end) this.observer?.onDidForget(this, report)
+      if (report.number > this.acknowledgedEnd && report.number <= end) this.observer?.onDidAcknowledgeEnd(this, report)
     }
     this.acknowledgedEnd = end
   }
--- a/test/fuzz/clusterOracle.ts
+++ b/test/fuzz/clusterOracle.ts
@@ -64,7 +64,7 @@
     this.done.set(end.task, [...this.done.get(end.task) ?? [], known])
   }
 
-  onDidForget (worker: FakeWorker, end: EndReport): void {
+  onDidAcknowledgeEnd (worker: FakeWorker, end: EndReport): void {
     if (end.kind === 'failed') this.failures.set(end.task, (this.failures.get(end.task) ?? 0) + 1)
     const known = this.done.get(end.task)?.find(candidate => candidate.worker === worker.identity && candidate.bornAt === worker.bornAt && candidate.number === end.number)
     // A lease that ended in between makes the end uncertain for good.
