--- a/test/fakes/fakeCluster.ts
+++ b/test/fakes/fakeCluster.ts
@@ -198,7 +198,7 @@
   readonly process: SimulatedProcess
   readonly term: number
   readonly log: Path
-  readonly acting: ActiveScheduler
+  readonly activeScheduler: ActiveScheduler
   pathTo (worker: string): Path
   renewedAt: number
   supersededAt: number
@@ -239,7 +239,7 @@
     worker.clockRate = this.workerCount % 2 === 0 ? SLOW_CLOCK_RATE : 1
     worker.observer = this.gangs
     this.workers.set(worker.identity, worker)
-    for (const { process, acting } of this.active) process.deliver(() => acting.setWorker(worker.entry))
+    for (const { process, activeScheduler: acting } of this.active) process.deliver(() => acting.setWorker(worker.entry))
     return worker
   }
 
@@ -247,7 +247,7 @@
   loseWorker (worker: FakeWorker): void {
     worker.restart()
     this.workers.delete(worker.identity)
-    for (const { process, acting } of this.active) process.deliver(() => acting.removeWorker(worker.identity))
+    for (const { process, activeScheduler: acting } of this.active) process.deliver(() => acting.removeWorker(worker.identity))
   }
 
   /** Another instance takes the role over; the former scheduler goes on until it is shut out. `logFault`: how the successor reaches the log. */
@@ -265,7 +265,7 @@
     }
     const log = newPath()
     log.fault = logFault
-    const scheduler: StartedScheduler = { process, term, log, pathTo, renewedAt: now, supersededAt: Infinity, isDeposed: false, acting: undefined as never }
+    const scheduler: StartedScheduler = { process, term, log, pathTo, renewedAt: now, supersededAt: Infinity, isDeposed: false, activeScheduler: undefined as never }
     process.run(() => {
       const acting = new ActiveScheduler(new LogOverPath(this.log, log), new WorkersOverPaths(this.workers, pathTo), {
         term,
@@ -277,7 +277,7 @@
           acting.dispose()
         }
       }, new ClusterMetrics(), new Logger(process.name, 'error', () => {}), new Random(term), () => performance.now())
-      Object.assign(scheduler, { acting })
+      Object.assign(scheduler, { activeScheduler: acting })
       acting.takeOver(CONFIGURATION, [...this.workers.values()].map(worker => worker.entry))
     })
     this.schedulers.push(scheduler)
@@ -287,7 +287,7 @@
   /** The scheduler's process ends at once. */
   crashScheduler (scheduler: StartedScheduler): void {
     scheduler.process.crash()
-    scheduler.acting.dispose()
+    scheduler.activeScheduler.dispose()
   }
 
   /** Hands a job in; it is accepted once the log holds it. */
--- a/test/fuzz/clusterOracle.ts
+++ b/test/fuzz/clusterOracle.ts
@@ -77,7 +77,7 @@
   checkEnd (cluster: FakeCluster): void {
     const scheduler = cluster.active.at(-1)
     for (const job of cluster.jobs) {
-      const state = scheduler?.acting.stateOf(job.identity)
+      const state = scheduler?.activeScheduler.stateOf(job.identity)
       if (!this.expectedStates(job).includes(String(state))) this.note(`NoJobLost: ${job.identity} is ${state} in the end`)
     }
     this.checkNothingLeft(cluster)
@@ -105,7 +105,7 @@
   }
 
   private checkStates (cluster: FakeCluster): void {
-    for (const { process, acting, term } of cluster.active) {
+    for (const { process, activeScheduler: acting, term } of cluster.active) {
       if (process.isPaused) continue
       for (const job of cluster.jobs) {
         if (acting.stateOf(job.identity) !== 'completed') continue
