--- a/test/fakes/fakeCluster.ts
+++ b/test/fakes/fakeCluster.ts
@@ -202,7 +202,7 @@
   pathTo (worker: string): Path
   renewedAt: number
   supersededAt: number
-  isDeposed: boolean
+  isSuperseded: boolean
 }
 
 /** A job that was handed in, with the shape of its steps. */
@@ -230,7 +230,7 @@
 
   /** Schedulers that run and have not been shut out. */
   get active (): StartedScheduler[] {
-    return this.schedulers.filter(scheduler => !scheduler.process.isCrashed && !scheduler.isDeposed)
+    return this.schedulers.filter(scheduler => !scheduler.process.isCrashed && !scheduler.isSuperseded)
   }
 
   addWorker (): FakeWorker {
@@ -265,7 +265,7 @@
     }
     const log = newPath()
     log.fault = logFault
-    const scheduler: StartedScheduler = { process, term, log, pathTo, renewedAt: now, supersededAt: Infinity, isDeposed: false, activeScheduler: undefined as never }
+    const scheduler: StartedScheduler = { process, term, log, pathTo, renewedAt: now, supersededAt: Infinity, isSuperseded: false, activeScheduler: undefined as never }
     process.run(() => {
       const acting = new ActiveScheduler(new LogOverPath(this.log, log), new WorkersOverPaths(this.workers, pathTo), {
         term,
@@ -273,7 +273,7 @@
         renewedAt: () => scheduler.renewedAt,
         eligibilityChannels: () => [],
         onSuperseded: () => {
-          scheduler.isDeposed = true
+          scheduler.isSuperseded = true
           acting.dispose()
         }
       }, new ClusterMetrics(), new Logger(process.name, 'error', () => {}), new Random(term), () => performance.now())
