--- a/test/fakes/fakeCluster.ts
+++ b/test/fakes/fakeCluster.ts
@@ -229,7 +229,7 @@
   }
 
   /** Schedulers that run and have not been shut out. */
-  get active (): StartedScheduler[] {
+  get runningSchedulers (): StartedScheduler[] {
     return this.schedulers.filter(scheduler => !scheduler.process.isCrashed && !scheduler.isSuperseded)
   }
 
@@ -239,7 +239,7 @@
     worker.clockRate = this.workerCount % 2 === 0 ? SLOW_CLOCK_RATE : 1
     worker.observer = this.gangs
     this.workers.set(worker.identity, worker)
-    for (const { process, activeScheduler: acting } of this.active) process.deliver(() => acting.setWorker(worker.entry))
+    for (const { process, activeScheduler: acting } of this.runningSchedulers) process.deliver(() => acting.setWorker(worker.entry))
     return worker
   }
 
@@ -247,7 +247,7 @@
   loseWorker (worker: FakeWorker): void {
     worker.restart()
     this.workers.delete(worker.identity)
-    for (const { process, activeScheduler: acting } of this.active) process.deliver(() => acting.removeWorker(worker.identity))
+    for (const { process, activeScheduler: acting } of this.runningSchedulers) process.deliver(() => acting.removeWorker(worker.identity))
   }
 
   /** Another instance takes the role over; the former scheduler goes on until it is shut out. `logFault`: how the successor reaches the log. */
@@ -306,7 +306,7 @@
 
   /** Advances the clock; a scheduler is started if none is left. */
   async advance (milliseconds: number): Promise<void> {
-    if (this.active.length === 0) this.startScheduler()
+    if (this.runningSchedulers.length === 0) this.startScheduler()
     await this.clock.advance(milliseconds, STEP_MILLISECONDS, () => {
       this.renewRoles()
       this.observer.onStep(this)
@@ -333,7 +333,7 @@
 
   private renewRoles (): void {
     const now = performance.now()
-    for (const scheduler of this.active) {
+    for (const scheduler of this.runningSchedulers) {
       if (!scheduler.process.isPaused && scheduler.log.fault !== 'cut' && now < scheduler.supersededAt + OVERLAP_MILLISECONDS) scheduler.renewedAt = now
     }
   }
--- a/test/fuzz/clusterFuzzer.ts
+++ b/test/fuzz/clusterFuzzer.ts
@@ -52,7 +52,7 @@
 }
 
 function schedulerAt (cluster: FakeCluster, position: number): StartedScheduler | undefined {
-  return cluster.active.at(-1 - position % Math.max(1, cluster.active.length))
+  return cluster.runningSchedulers.at(-1 - position % Math.max(1, cluster.runningSchedulers.length))
 }
 
 function workerAt (cluster: FakeCluster, position: number): FakeWorker {
--- a/test/fuzz/clusterOracle.ts
+++ b/test/fuzz/clusterOracle.ts
@@ -75,7 +75,7 @@
 
   /** What must hold once all faults are over and enough time has passed. */
   checkEnd (cluster: FakeCluster): void {
-    const scheduler = cluster.active.at(-1)
+    const scheduler = cluster.runningSchedulers.at(-1)
     for (const job of cluster.jobs) {
       const state = scheduler?.activeScheduler.stateOf(job.identity)
       if (!this.expectedStates(job).includes(String(state))) this.note(`NoJobLost: ${job.identity} is ${state} in the end`)
@@ -105,7 +105,7 @@
   }
 
   private checkStates (cluster: FakeCluster): void {
-    for (const { process, activeScheduler: acting, term } of cluster.active) {
+    for (const { process, activeScheduler: acting, term } of cluster.runningSchedulers) {
       if (process.isPaused) continue
       for (const job of cluster.jobs) {
         if (acting.stateOf(job.identity) !== 'completed') continue
