--- a/test/fakes/fakeCluster.ts
+++ b/test/fakes/fakeCluster.ts
@@ -244,7 +244,7 @@
   }
 
   /** The worker's process ends for good; its entry goes. */
-  loseWorker (worker: FakeWorker): void {
+  removeWorker (worker: FakeWorker): void {
     worker.restart()
     this.workers.delete(worker.identity)
     for (const { process, activeScheduler: acting } of this.runningSchedulers) process.deliver(() => acting.removeWorker(worker.identity))
--- a/test/fuzz/clusterFuzzer.ts
+++ b/test/fuzz/clusterFuzzer.ts
@@ -80,7 +80,7 @@
   {
     weight: 1,
     arbitrary: command('replaceWorker', [index], (cluster, worker) => {
-      cluster.loseWorker(workerAt(cluster, worker))
+      cluster.removeWorker(workerAt(cluster, worker))
       cluster.addWorker()
     })
   },
