--- a/test/fakes/fakeCluster.ts
+++ b/test/fakes/fakeCluster.ts
@@ -148,7 +148,7 @@
 }
 
 /** Ends the members of gangs together: done once all have been present for a while, broken if one ends otherwise, alone if one waits too long. Passes on what it observes. */
-export class GangMembers implements FakeWorkerObserver {
+export class GangSimulator implements FakeWorkerObserver {
   constructor (private readonly timers: Timers, private readonly view: ClusterView, private readonly observer: FakeWorkerObserver) {}
 
   /** Names of the tasks of the gang that a task belongs to; empty if it belongs to none. */
@@ -219,13 +219,13 @@
   readonly workers = new Map<string, FakeWorker>()
   readonly schedulers: StartedScheduler[] = []
   readonly jobs: SubmittedStepJob[] = []
-  private readonly gangs: GangMembers
+  private readonly gangs: GangSimulator
   private readonly random: Random
   private workerCount = 0
 
   constructor (seed: number, private readonly observer: FakeWorkerObserver & { onStep (cluster: FakeCluster): void }) {
     this.random = new Random(seed)
-    this.gangs = new GangMembers(this.clock, this, observer)
+    this.gangs = new GangSimulator(this.clock, this, observer)
   }
 
   /** Schedulers that run and have not been shut out. */
--- a/test/soak/soakSite.ts
+++ b/test/soak/soakSite.ts
@@ -3,7 +3,7 @@
 import { TOPICS, type StoredRecord } from '../../src/cluster/recordLog.js'
 import { decodeRecord, encodeRecord, type LeadershipRecord } from '../../src/contracts/clusterRecords.js'
 import { HttpCaller } from '../../src/links/httpCaller.js'
-import { ATTEMPTS, GangMembers, SLOW_CLOCK_RATE, type ClusterView, type SubmittedStepJob } from '../fakes/fakeCluster.js'
+import { ATTEMPTS, GangSimulator, SLOW_CLOCK_RATE, type ClusterView, type SubmittedStepJob } from '../fakes/fakeCluster.js'
 import { FakeWorker } from '../fakes/fakeClusterWorkers.js'
 import { FakeRecordLog } from '../fakes/fakeRecordLog.js'
 import { CONFIGURATION_KEY, OPERATOR_TOPIC, WORKER_TOPIC } from '../../platform/registry.js'
@@ -47,7 +47,7 @@
   readonly checks: SoakChecks
   /** Faults, and ends of processes. */
   readonly history: string[] = []
-  private readonly gangs: GangMembers
+  private readonly gangs: GangSimulator
   private readonly standins = new Map<string, WorkerStandin>()
   private readonly logs: LogStandin[] = []
   /** Paths by instance and by address of the target. */
@@ -64,7 +64,7 @@
 
   constructor (private readonly directory: string) {
     this.checks = new SoakChecks(this)
-    this.gangs = new GangMembers({ after: (milliseconds, work) => setTimeout(work, milliseconds) }, this, this.checks)
+    this.gangs = new GangSimulator({ after: (milliseconds, work) => setTimeout(work, milliseconds) }, this, this.checks)
     this.log.appendMilliseconds = APPEND_MILLISECONDS
     process.once('exit', this.endProcesses)
   }
