--- a/test/fakes/fakeCluster.ts
+++ b/test/fakes/fakeCluster.ts
@@ -15,13 +15,13 @@
 const BOUNDS = { workerLeaseMilliseconds: 6000, graceMilliseconds: 6000, stateRetentionMilliseconds: 120_000 }
 
 /** Runs of one task that may fail before its job fails. */
-export const ATTEMPTS = 3
+export const MAXIMUM_ATTEMPTS = 3
 
 const CONFIGURATION: ClusterConfiguration = {
   revision: 1,
   queues: [
-    { name: 'urgent', host: 'host', routePrefix: '/u/', pool: 'pool', priority: 0, attempts: ATTEMPTS, stretch: 2, targetMilliseconds: 500 },
-    { name: 'batch', host: 'host', routePrefix: '/b/', pool: 'pool', priority: 1, attempts: ATTEMPTS, stretch: 2, targetMilliseconds: 500 }
+    { name: 'urgent', host: 'host', routePrefix: '/u/', pool: 'pool', priority: 0, attempts: MAXIMUM_ATTEMPTS, stretch: 2, targetMilliseconds: 500 },
+    { name: 'batch', host: 'host', routePrefix: '/b/', pool: 'pool', priority: 1, attempts: MAXIMUM_ATTEMPTS, stretch: 2, targetMilliseconds: 500 }
   ],
   maximumBodyBytes: 100_000
 }
--- a/test/fuzz/clusterOracle.ts
+++ b/test/fuzz/clusterOracle.ts
@@ -1,5 +1,5 @@
 import type { EndReport } from '../../src/cluster/workerPort.js'
-import { ATTEMPTS, type ClusterView, type FakeCluster, type SubmittedStepJob } from '../fakes/fakeCluster.js'
+import { MAXIMUM_ATTEMPTS, type ClusterView, type FakeCluster, type SubmittedStepJob } from '../fakes/fakeCluster.js'
 import type { FakeWorker, FakeWorkerObserver } from '../fakes/fakeClusterWorkers.js'
 
 /** An end of a run as its worker keeps it. */
@@ -54,7 +54,7 @@
       end.startedAfter ??= start
     }
     if (this.shown.has(jobOf(task))) this.note(`RunsOnce: ${start} was started after its job had been shown as completed`)
-    if ((this.failures.get(task) ?? 0) >= ATTEMPTS) this.note(`WithinAttempts: ${start} was started after ${ATTEMPTS} failed runs`)
+    if ((this.failures.get(task) ?? 0) >= MAXIMUM_ATTEMPTS) this.note(`WithinAttempts: ${start} was started after ${MAXIMUM_ATTEMPTS} failed runs`)
     this.checkOrder(task, start)
   }
 
@@ -100,7 +100,7 @@
   expectedStates (job: SubmittedStepJob): string[] {
     const expected = ['completed']
     if (job.isCancelled) expected.push('cancelled')
-    if ([...this.failures].some(([task, count]) => task.startsWith(`${job.identity}.`) && count >= ATTEMPTS)) expected.push('failed')
+    if ([...this.failures].some(([task, count]) => task.startsWith(`${job.identity}.`) && count >= MAXIMUM_ATTEMPTS)) expected.push('failed')
     return expected
   }
 
--- a/test/soak/soakSite.ts
+++ b/test/soak/soakSite.ts
@@ -3,7 +3,7 @@
 import { TOPICS, type StoredRecord } from '../../src/cluster/recordLog.js'
 import { decodeRecord, encodeRecord, type LeadershipRecord } from '../../src/contracts/clusterRecords.js'
 import { HttpCaller } from '../../src/links/httpCaller.js'
-import { ATTEMPTS, GangSimulator, SLOW_CLOCK_RATE, type ClusterView, type SubmittedStepJob } from '../fakes/fakeCluster.js'
+import { MAXIMUM_ATTEMPTS, GangSimulator, SLOW_CLOCK_RATE, type ClusterView, type SubmittedStepJob } from '../fakes/fakeCluster.js'
 import { FakeWorker } from '../fakes/fakeClusterWorkers.js'
 import { FakeRecordLog } from '../fakes/fakeRecordLog.js'
 import { CONFIGURATION_KEY, OPERATOR_TOPIC, WORKER_TOPIC } from '../../platform/registry.js'
@@ -24,7 +24,7 @@
 /** Period in which the machine's slowness is watched, and the lateness from which it counts as slowed, in milliseconds. */
 const WATCH_MILLISECONDS = 50
 const SLOW_LATENESS_MILLISECONDS = 100
-const ROUTE = { host: 'jobs.example', service: 'pool', attempts: ATTEMPTS, stretch: 2, targetDurationMs: 500 }
+const ROUTE = { host: 'jobs.example', service: 'pool', attempts: MAXIMUM_ATTEMPTS, stretch: 2, targetDurationMs: 500 }
 export const QUEUES = ['urgent', 'batch'] as const
 
 /** A job as its caller knows it. */
