--- a/test/fakes/fakeLog.ts
+++ b/test/fakes/fakeLog.ts
@@ -13,7 +13,7 @@
   down = false
   slowMilliseconds = 0
   /** Appends whose answer is lost after they took effect. */
-  answersToLose = 0
+  responsesToLose = 0
   retainedRecords = Infinity
   private readonly waiting = new Set<() => void>()
 
@@ -64,8 +64,8 @@
   }
 
   override async append (stream: string, records: readonly RecordEnvelope[], signal?: AbortSignal): Promise<AppendAnswer> {
-    const loseAnswer = this.log.answersToLose > 0
-    if (loseAnswer) this.log.answersToLose -= 1
+    const loseAnswer = this.log.responsesToLose > 0
+    if (loseAnswer) this.log.responsesToLose -= 1
     return await this.network.call(this.self, PLATFORM, () => this.log.append(stream, records), {
       timeoutMilliseconds: CALL_TIMEOUT_MILLISECONDS, extraMilliseconds: this.log.slowMilliseconds, loseAnswer, signal
     })
--- a/test/fakes/fakeSite.ts
+++ b/test/fakes/fakeSite.ts
@@ -248,7 +248,7 @@
   /** Ends every fault: outages, partitions, pauses, leaving machines; starts what crashed or stopped. */
   heal (): void {
     this.network.heal()
-    Object.assign(this.log, { down: false, slowMilliseconds: 0, answersToLose: 0 })
+    Object.assign(this.log, { down: false, slowMilliseconds: 0, responsesToLose: 0 })
     Object.assign(this.fabric, { dropPercent: 0, duplicatePercent: 0, reorderMilliseconds: 0 })
     for (const worker of this.workers.values()) Object.assign(worker, { silent: false, failsEverything: false, answersToLose: 0 })
     for (const executor of this.executors.values()) executor.faults.length = 0
--- a/test/fuzz/commands.ts
+++ b/test/fuzz/commands.ts
@@ -101,7 +101,7 @@
     { weight: 2, arbitrary: command('healNetwork', [], site => site.network.heal()) },
     { weight: 1, arbitrary: command('logDown', [fc.boolean()], (site, down) => { site.log.down = down }) },
     { weight: 1, arbitrary: command('logSlow', [fc.constantFrom(0, 200, 2500)], (site, milliseconds) => { site.log.slowMilliseconds = milliseconds }) },
-    { weight: 2, arbitrary: command('loseLogAnswers', [fc.constantFrom(1, 3)], (site, count) => { site.log.answersToLose += count }) },
+    { weight: 2, arbitrary: command('loseLogAnswers', [fc.constantFrom(1, 3)], (site, count) => { site.log.responsesToLose += count }) },
     { weight: 1, arbitrary: command('links', [fc.constantFrom(0, 20), fc.constantFrom(0, 30), fc.constantFrom(0, 400)], (site, dropPercent, duplicatePercent, reorderMilliseconds) => { Object.assign(site.fabric, { dropPercent, duplicatePercent, reorderMilliseconds }) }) },
     { weight: 1, arbitrary: command('workerSilent', [index, fc.boolean()], (site, worker, silent) => { at(site.workers.values(), worker).silent = silent }) },
     { weight: 2, arbitrary: command('loseWorkerAnswers', [index, fc.constantFrom(1, 3)], (site, worker, count) => { at(site.workers.values(), worker).answersToLose += count }) },
