--- a/test/fakes/fakeSite.ts
+++ b/test/fakes/fakeSite.ts
@@ -250,7 +250,7 @@
     this.network.heal()
     Object.assign(this.log, { down: false, slowMilliseconds: 0, responsesToLose: 0 })
     Object.assign(this.fabric, { dropPercent: 0, duplicatePercent: 0, reorderMilliseconds: 0 })
-    for (const worker of this.workers.values()) Object.assign(worker, { silent: false, failsEverything: false, answersToLose: 0 })
+    for (const worker of this.workers.values()) Object.assign(worker, { silent: false, failsEverything: false, responsesToLose: 0 })
     for (const executor of this.executors.values()) executor.faults.length = 0
     for (const name of this.directory.leavingSince.keys()) if (this.executors.has(name) || this.workers.has(name)) this.listMachine(name, 'live')
     for (const instance of this.current.values()) {
--- a/test/fakes/fakeWorkers.ts
+++ b/test/fakes/fakeWorkers.ts
@@ -31,7 +31,7 @@
   silent = false
   failsEverything = false
   /** Answers to commands that are lost after the command took effect. */
-  answersToLose = 0
+  responsesToLose = 0
   private readonly tasks = new Map<string, KnownTask>()
   private term = 0
 
@@ -134,8 +134,8 @@
   private async command (address: string, work: (worker: FakeWorker) => CommandOutcome): Promise<CommandOutcome> {
     try {
       const worker = this.workers.get(address)
-      const loseAnswer = worker !== undefined && worker.answersToLose > 0
-      if (loseAnswer) worker.answersToLose -= 1
+      const loseAnswer = worker !== undefined && worker.responsesToLose > 0
+      if (loseAnswer) worker.responsesToLose -= 1
       return await this.call(address, work, loseAnswer)
     } catch (error) {
       return { kind: 'unknown', reason: String(error) }
--- a/test/fuzz/commands.ts
+++ b/test/fuzz/commands.ts
@@ -104,7 +104,7 @@
     { weight: 2, arbitrary: command('loseLogAnswers', [fc.constantFrom(1, 3)], (site, count) => { site.log.responsesToLose += count }) },
     { weight: 1, arbitrary: command('links', [fc.constantFrom(0, 20), fc.constantFrom(0, 30), fc.constantFrom(0, 400)], (site, dropPercent, duplicatePercent, reorderMilliseconds) => { Object.assign(site.fabric, { dropPercent, duplicatePercent, reorderMilliseconds }) }) },
     { weight: 1, arbitrary: command('workerSilent', [index, fc.boolean()], (site, worker, silent) => { at(site.workers.values(), worker).silent = silent }) },
-    { weight: 2, arbitrary: command('loseWorkerAnswers', [index, fc.constantFrom(1, 3)], (site, worker, count) => { at(site.workers.values(), worker).answersToLose += count }) },
+    { weight: 2, arbitrary: command('loseWorkerAnswers', [index, fc.constantFrom(1, 3)], (site, worker, count) => { at(site.workers.values(), worker).responsesToLose += count }) },
     { weight: 1, arbitrary: command('workerFails', [index, fc.boolean()], (site, worker, fails) => { at(site.workers.values(), worker).failsEverything = fails }) },
     { weight: 2, arbitrary: command('leaving', [index, fc.boolean()], (site, machine, leaving) => site.listMachine(at([...site.executors.keys(), ...site.workers.keys()], machine), leaving ? 'leaving' : 'live')) }
   ]
