--- a/test/fakes/fakeLog.ts
+++ b/test/fakes/fakeLog.ts
@@ -19,20 +19,20 @@
 
   append (stream: string, records: readonly RecordEnvelope[]): AppendAnswer {
     if (this.down) throw new Error('the log is down')
-    const all = this.all(stream)
-    const firstOffset = all.length
-    all.push(...structuredClone(records) as RecordEnvelope[])
+    const recordsOf = this.recordsOf(stream)
+    const firstOffset = recordsOf.length
+    recordsOf.push(...structuredClone(records) as RecordEnvelope[])
     for (const wake of [...this.waiting]) wake()
-    return { firstOffset, nextOffset: all.length }
+    return { firstOffset, nextOffset: recordsOf.length }
   }
 
   read (stream: string, from: number, limit: number): ReadAnswer {
     if (this.down) throw new Error('the log is down')
-    const all = this.all(stream)
-    const retainedFrom = Math.max(0, all.length - this.retainedRecords)
+    const recordsOf = this.recordsOf(stream)
+    const retainedFrom = Math.max(0, recordsOf.length - this.retainedRecords)
     const start = Math.max(from, retainedFrom)
-    const records = all.slice(start, start + limit).map((record, index) => ({ offset: start + index, record: structuredClone(record) }))
-    return { retainedFrom, nextOffset: all.length, records }
+    const records = recordsOf.slice(start, start + limit).map((record, index) => ({ offset: start + index, record: structuredClone(record) }))
+    return { retainedFrom, nextOffset: recordsOf.length, records }
   }
 
   /** Resolves at the next append or after a time. */
@@ -50,7 +50,7 @@
     })
   }
 
-  all (stream: string): RecordEnvelope[] {
+  recordsOf (stream: string): RecordEnvelope[] {
     const records = this.streams.get(stream) ?? []
     this.streams.set(stream, records)
     return records
--- a/test/fuzz/oracle.ts
+++ b/test/fuzz/oracle.ts
@@ -132,7 +132,7 @@
 export function NoAcceptedJobLost (site: FakeSite): string[] {
   return site.jobs.flatMap(({ answer, name, kind, failureDomain }) => {
     if (answer?.kind !== 'accepted') return []
-    const ended = site.log.all(`jobs.${failureDomain}`).some(({ body }) => (body as { type: string, job: unknown }).type === 'jobEnded' && (body as { job: unknown }).job === answer.job)
+    const ended = site.log.recordsOf(`jobs.${failureDomain}`).some(({ body }) => (body as { type: string, job: unknown }).type === 'jobEnded' && (body as { job: unknown }).job === answer.job)
     const running = [...site.workers.values()].flatMap(worker => worker.running).filter(({ task }) => task.startsWith(`${answer.job}#`)).length
     return ended || running > 0 ? [] : [`${name} (${kind}) has neither ended nor does it run`]
   })
@@ -177,7 +177,7 @@
 /** Texts that the log has decided, by the rule of the design page: a record whose base is the current revision becomes the next. */
 function decidedTexts (site: FakeSite): string[] {
   const texts: string[] = []
-  for (const { body } of site.log.all(CONFIGURATION_STREAM)) {
+  for (const { body } of site.log.recordsOf(CONFIGURATION_STREAM)) {
     const publish = body as { type: string, baseRevision: number, text: string }
     if (publish.type === 'configurationPublished' && publish.baseRevision === texts.length) texts.push(publish.text)
   }
