--- a/test/cluster/activeScheduler.test.ts
+++ b/test/cluster/activeScheduler.test.ts
@@ -193,14 +193,14 @@
       const worker = site.port.add(new FakeWorker('w1', 1, () => 1000))
       const former = start(1)
       await site.clock.tickAsync(100)
-      site.log.answerMilliseconds = 200
+      site.log.responseMilliseconds = 200
       submit(site.log, JOB, [step(), step({ after: [0] })])
       while (!hasHappened(site, worker)) {
         await site.clock.tickAsync(10)
         if (worker.started.length > 0) former.dispose()
       }
       former.dispose()
-      site.log.answerMilliseconds = 5
+      site.log.responseMilliseconds = 5
       worker.state = 'draining'
       worker.isReachable = isWorkerSilent !== true
       const successor = start(2)
@@ -487,7 +487,7 @@
 
   /** Until an end is acknowledged, the worker responds to every poll at once with it, and each poll costs processor time on both sides. */
   it('polls again only once the log holds the ends reported by a poll', async () => await withSite(async (site, start) => {
-    site.log.answerMilliseconds = 130
+    site.log.responseMilliseconds = 130
     const worker = site.port.add(new FakeWorker('w1', 1, () => 500))
     const scheduler = start(1)
     submit(site.log, JOB, [step({ count: 10 })])
@@ -521,7 +521,7 @@
   }))
 
   it('shows a job as completed only once the log holds it, while the log is available', async () => await withSite(async (site, start) => {
-    site.log.answerMilliseconds = 150
+    site.log.responseMilliseconds = 150
     const worker = site.port.add(new FakeWorker('w1', 1, () => 1000))
     const scheduler = start(1)
     submit(site.log, JOB, [step()])
--- a/test/fakes/fakeRecordLog.ts
+++ b/test/fakes/fakeRecordLog.ts
@@ -22,7 +22,7 @@
   private readonly partitions = new Map<string, FakePartition>()
   private readonly writers = new Map<string, { term: number, sequence: number }>()
 
-  constructor (public answerMilliseconds = 5, private readonly timeoutMilliseconds = 1000) {
+  constructor (public responseMilliseconds = 5, private readonly timeoutMilliseconds = 1000) {
     super()
   }
 
@@ -116,7 +116,7 @@
   }
 
   private async answer<T> (outcome: T): Promise<T> {
-    return await after(this.answerMilliseconds, outcome)
+    return await after(this.responseMilliseconds, outcome)
   }
 }
 
