--- a/test/fakes/fakeLog.ts
+++ b/test/fakes/fakeLog.ts
@@ -67,7 +67,7 @@
     const loseAnswer = this.log.responsesToLose > 0
     if (loseAnswer) this.log.responsesToLose -= 1
     return await this.network.call(this.self, PLATFORM, () => this.log.append(stream, records), {
-      timeoutMilliseconds: CALL_TIMEOUT_MILLISECONDS, extraMilliseconds: this.log.slowMilliseconds, loseAnswer, signal
+      timeoutMilliseconds: CALL_TIMEOUT_MILLISECONDS, extraMilliseconds: this.log.slowMilliseconds, loseResponse: loseAnswer, signal
     })
   }
 
--- a/test/fakes/fakeWorkers.ts
+++ b/test/fakes/fakeWorkers.ts
@@ -147,7 +147,7 @@
     return await this.network.call(this.self, worker.failureDomain, async () => {
       if (worker.silent) return await new Promise<T>(() => {})
       return work(worker)
-    }, { timeoutMilliseconds: CALL_TIMEOUT_MILLISECONDS, loseAnswer })
+    }, { timeoutMilliseconds: CALL_TIMEOUT_MILLISECONDS, loseResponse: loseAnswer })
   }
 }
 
--- a/test/fakes/network.ts
+++ b/test/fakes/network.ts
@@ -7,7 +7,7 @@
 /** Faults of a call that the receiver decides. */
 export interface CallOptions {
   readonly timeoutMilliseconds: number
-  readonly loseAnswer?: boolean
+  readonly loseResponse?: boolean
   readonly extraMilliseconds?: number
   readonly signal?: AbortSignal
 }
@@ -61,7 +61,7 @@
       options.signal?.addEventListener('abort', abort, { once: true })
       const answer = (finish: () => void): void => {
         this.clock.after(this.delayMilliseconds(), () => {
-          if (options.loseAnswer !== true && this.reaches(from, to)) settle(finish)
+          if (options.loseResponse !== true && this.reaches(from, to)) settle(finish)
         })
       }
       this.clock.after(this.delayMilliseconds() + (options.extraMilliseconds ?? 0), () => {
