--- a/features/steps/serving.steps.ts
+++ b/features/steps/serving.steps.ts
@@ -32,7 +32,7 @@
 
 Given('a site with the failure domains gent-a and gent-b', async function (this: ServingWorld) {
   this.site = new FakeSite({ seed: 1 }, watch)
-  await this.site.begin()
+  await this.site.start()
 })
 
 After(async function (this: ServingWorld, { result }) {
--- a/test/fakes/fakeSite.ts
+++ b/test/fakes/fakeSite.ts
@@ -121,7 +121,7 @@
   }
 
   /** Publishes the first text and waits until every instance holds slots. */
-  async begin (): Promise<void> {
+  async start (): Promise<void> {
     this.publish(0)
     for (let waited = 0; waited < 10_000 && !this.alive().every(({ entry }) => entry.canServe); waited += 100) await this.advance(100)
   }
--- a/test/fuzz/fuzz.test.ts
+++ b/test/fuzz/fuzz.test.ts
@@ -42,7 +42,7 @@
   itUnlessKnownRed('executors carry at most their slots when demand moves between instances', async () => {
     const site = new FakeSite({ seed: 107267 }, watch)
     try {
-      await site.begin()
+      await site.start()
       await site.advance(50)
       for (const executor of [...site.executors.values()].slice(2)) executor.serviceMilliseconds = 2000
       for (let count = 0; count < 30; count += 1) site.request(site.instanceAt(3), 'booking')
@@ -57,7 +57,7 @@
   // Guards against timers and listeners that outlive an instance, also after faults.
   it('leaves no timer after every instance has been disposed', async () => {
     const site = new FakeSite({ seed: 1 })
-    await site.begin()
+    await site.start()
     for (let count = 0; count < 20; count += 1) site.request(site.instanceAt(count), 'lookup')
     site.submitJob(site.instanceAt(0), 'batch')
     site.log.down = true
--- a/test/fuzz/fuzzer.ts
+++ b/test/fuzz/fuzzer.ts
@@ -76,7 +76,7 @@
   const site = new FakeSite(options, watch)
   let timers = 0
   try {
-    await site.begin()
+    await site.start()
     await act(site)
     await finish(site)
   } finally {
