--- a/features/steps/serving.steps.ts
+++ b/features/steps/serving.steps.ts
@@ -104,7 +104,7 @@
 })
 
 Then('the text of the first operator is in force everywhere as revision 2', function (this: ServingWorld) {
-  for (const { name, entry } of siteOf(this).alive()) {
+  for (const { name, entry } of siteOf(this).runningInstances()) {
     const current = entry.components.configuration.inForce
     assert.deepEqual([current?.revision, current?.source], [2, this.texts[0]], name)
   }
@@ -147,7 +147,7 @@
 Then('each failure domain has one owner', function (this: ServingWorld) {
   const site = siteOf(this)
   for (const domain of site.failureDomains) {
-    assert.equal(site.alive().filter(({ failureDomain, entry }) => failureDomain === domain && entry.components.ownership.isOwner()).length, 1, domain)
+    assert.equal(site.runningInstances().filter(({ failureDomain, entry }) => failureDomain === domain && entry.components.ownership.isOwner()).length, 1, domain)
   }
 })
 
--- a/test/entry/ownershipTask.test.ts
+++ b/test/entry/ownershipTask.test.ts
@@ -35,7 +35,7 @@
   for (const milliseconds of CUT_MILLISECONDS) {
     it(`a successor that is cut off from the log for ${milliseconds} ms acts afterwards`, async () => {
       await prove({ seed: 0 }, async site => {
-        const elector = site.alive().find(({ entry, failureDomain }) => failureDomain === 'gent-a' && !entry.components.ownership.isOwner())
+        const elector = site.runningInstances().find(({ entry, failureDomain }) => failureDomain === 'gent-a' && !entry.components.ownership.isOwner())
         elector?.process.pause()
         await site.advance(5000)
         elector?.process.wake()
@@ -55,7 +55,7 @@
 
 function assertOneOwnerEach (site: FakeSite): void {
   for (const failureDomain of site.failureDomains) {
-    const owners = site.alive().filter(instance => instance.failureDomain === failureDomain && instance.entry.components.ownership.isOwner())
+    const owners = site.runningInstances().filter(instance => instance.failureDomain === failureDomain && instance.entry.components.ownership.isOwner())
     assert.equal(owners.length, 1, failureDomain)
   }
 }
--- a/test/fakes/fakeSite.ts
+++ b/test/fakes/fakeSite.ts
@@ -123,11 +123,11 @@
   /** Publishes the first text and waits until every instance holds slots. */
   async start (): Promise<void> {
     this.publish(0)
-    for (let waited = 0; waited < 10_000 && !this.alive().every(({ entry }) => entry.canServe); waited += 100) await this.advance(100)
+    for (let waited = 0; waited < 10_000 && !this.runningInstances().every(({ entry }) => entry.canServe); waited += 100) await this.advance(100)
   }
 
   /** Instances that run, including paused and stopping ones. */
-  alive (): StartedInstance[] {
+  runningInstances (): StartedInstance[] {
     return [...this.current.values()].filter(({ process, stoppedAt }) => !process.isCrashed && stoppedAt === undefined)
   }
 
--- a/test/fuzz/oracle.ts
+++ b/test/fuzz/oracle.ts
@@ -104,7 +104,7 @@
 export function ConfigurationNeverReverts (site: FakeSite): string[] {
   const decided = decidedTexts(site)
   const problems: string[] = []
-  for (const instance of site.alive()) {
+  for (const instance of site.runningInstances()) {
     const current = instance.entry.components.configuration.inForce
     const revision = current?.revision ?? 0
     if (revision < instance.highestRevision) problems.push(`${instance.incarnation} went from revision ${instance.highestRevision} to ${revision}`)
@@ -117,7 +117,7 @@
 /** Checked at the end: with all faults healed, the decided text is in force everywhere. */
 export function ConfigurationInForceEverywhere (site: FakeSite): string[] {
   const { length } = decidedTexts(site)
-  return site.alive().filter(({ entry }) => entry.components.configuration.inForce?.revision !== length)
+  return site.runningInstances().filter(({ entry }) => entry.components.configuration.inForce?.revision !== length)
     .map(({ incarnation, entry }) => `${incarnation} has revision ${entry.components.configuration.inForce?.revision ?? 0} in force, not ${length}`)
 }
 
