--- a/features/steps/serving.steps.ts
+++ b/features/steps/serving.steps.ts
@@ -20,7 +20,7 @@
 }
 
 function instanceOf (site: FakeSite, name: string): StartedInstance {
-  const instance = site.current.get(name)
+  const instance = site.instances.get(name)
   assert.ok(instance, name)
   return instance
 }
@@ -100,7 +100,7 @@
 
 When('all entry instances crash and restart', function (this: ServingWorld) {
   const site = siteOf(this)
-  for (const instance of [...site.current.values()]) site.restart(instance)
+  for (const instance of [...site.instances.values()]) site.restart(instance)
 })
 
 Then('the text of the first operator is in force everywhere as revision 2', function (this: ServingWorld) {
--- a/test/entry/ownershipTask.test.ts
+++ b/test/entry/ownershipTask.test.ts
@@ -10,12 +10,12 @@
 
 /** Each way of replacing instances left a failure domain without an owner for good, because the list showed their names on. */
 const REPLACEMENTS: ReadonlyArray<{ readonly name: string, readonly act: (site: FakeSite) => void }> = [
-  { name: 'all instances restart at once', act: site => { for (const instance of [...site.current.values()]) site.restart(instance) } },
+  { name: 'all instances restart at once', act: site => { for (const instance of [...site.instances.values()]) site.restart(instance) } },
   {
     name: 'all instances crash and restart one after the other',
     act: site => {
-      for (const instance of [...site.current.values()]) site.crash(instance)
-      for (const instance of [...site.current.values()]) site.restart(instance)
+      for (const instance of [...site.instances.values()]) site.crash(instance)
+      for (const instance of [...site.instances.values()]) site.restart(instance)
     }
   }
 ]
--- a/test/fakes/fakeSite.ts
+++ b/test/fakes/fakeSite.ts
@@ -85,7 +85,7 @@
   readonly executors = new Map<string, FakeExecutor>()
   readonly workers = new Map<string, FakeWorker>()
   /** Latest start of each instance, by name. */
-  readonly current = new Map<string, StartedInstance>()
+  readonly instances = new Map<string, StartedInstance>()
   readonly started: StartedInstance[] = []
   readonly requests: SubmittedRequest[] = []
   readonly jobs: SubmittedJob[] = []
@@ -128,12 +128,12 @@
 
   /** Instances that run, including paused and stopping ones. */
   runningInstances (): StartedInstance[] {
-    return [...this.current.values()].filter(({ process, stoppedAt }) => !process.isCrashed && stoppedAt === undefined)
+    return [...this.instances.values()].filter(({ process, stoppedAt }) => !process.isCrashed && stoppedAt === undefined)
   }
 
   /** Instance by a number that need not be in range. */
   instanceAt (index: number): StartedInstance {
-    const all = [...this.current.values()]
+    const all = [...this.instances.values()]
     return all[index % all.length] as StartedInstance
   }
 
@@ -163,7 +163,7 @@
       entry.components.server.listen = async () => 1
       const instance: StartedInstance = { name, failureDomain, incarnation, process, entry, connections, startedAt: performance.now(), highestRevision: 0, stopBeganAt: undefined, stoppedAt: undefined, cutOff: 0 }
       this.started.push(instance)
-      this.current.set(name, instance)
+      this.instances.set(name, instance)
       entry.start()
     })
     this.directory.set({ kind: 'entry', name, failureDomain, address: 'ws://link.invalid', callerAddress: 'http://caller.invalid', state: 'live' })
@@ -253,7 +253,7 @@
     for (const worker of this.workers.values()) Object.assign(worker, { silent: false, failsEverything: false, responsesToLose: 0 })
     for (const executor of this.executors.values()) executor.faults.length = 0
     for (const name of this.directory.leavingSince.keys()) if (this.executors.has(name) || this.workers.has(name)) this.listMachine(name, 'live')
-    for (const instance of this.current.values()) {
+    for (const instance of this.instances.values()) {
       instance.process.wake()
       if (instance.process.isCrashed || instance.stoppedAt !== undefined) this.startInstance(instance.name, instance.failureDomain)
     }
