--- a/test/fakes/fakeSite.ts
+++ b/test/fakes/fakeSite.ts
@@ -86,7 +86,7 @@
   readonly workers = new Map<string, FakeWorker>()
   /** Latest start of each instance, by name. */
   readonly instances = new Map<string, StartedInstance>()
-  readonly started: StartedInstance[] = []
+  readonly startedInstances: StartedInstance[] = []
   readonly requests: SubmittedRequest[] = []
   readonly jobs: SubmittedJob[] = []
   /** Problems noticed while time advances, by the name of the check. */
@@ -139,7 +139,7 @@
 
   /** Starts an instance, or starts it again after a crash or stop. */
   startInstance (name: string, failureDomain: string): void {
-    const start = this.started.filter(instance => instance.name === name).length
+    const start = this.startedInstances.filter(instance => instance.name === name).length
     const incarnation = `${name}.${start}`
     const process = new SimulatedProcess(name, failureDomain)
     const settings = entrySettingsSchema.parse({
@@ -157,12 +157,12 @@
         agent: new Agent()
       }
       const connections = this.options.wrapConnections?.(plain, process) ?? plain
-      const context = createEntryContext(settings, line => { this.lines.push(`${Math.round(performance.now())} ${line}`) }, incarnation, this.options.seed + this.started.length)
+      const context = createEntryContext(settings, line => { this.lines.push(`${Math.round(performance.now())} ${line}`) }, incarnation, this.options.seed + this.startedInstances.length)
       const entry = assembleEntryInstance(context, connections)
       // Callers reach the parts directly; no socket is opened.
       entry.components.server.listen = async () => 1
       const instance: StartedInstance = { name, failureDomain, incarnation, process, entry, connections, startedAt: performance.now(), highestRevision: 0, stopBeganAt: undefined, stoppedAt: undefined, cutOff: 0 }
-      this.started.push(instance)
+      this.startedInstances.push(instance)
       this.instances.set(name, instance)
       entry.start()
     })
@@ -265,13 +265,13 @@
 
   /** Ends everything. Returns the number of timers that are left although every instance was disposed. */
   async dispose (): Promise<number> {
-    for (const { process, entry } of this.started) {
+    for (const { process, entry } of this.startedInstances) {
       process.wake()
       process.run(() => entry.dispose())
     }
     for (const worker of this.workers.values()) worker.dispose()
     await this.clock.settle()
-    const left = this.started.reduce((sum, { process }) => sum + process.timers.size, 0)
+    const left = this.startedInstances.reduce((sum, { process }) => sum + process.timers.size, 0)
     // Calls under way in the surroundings end within their timeouts.
     await this.clock.advance(20_000, 1000)
     const remaining = left + this.clock.timerCount
