--- a/test/fakes/fakeSite.ts
+++ b/test/fakes/fakeSite.ts
@@ -90,7 +90,7 @@
   readonly requests: SubmittedRequest[] = []
   readonly jobs: SubmittedJob[] = []
   /** Problems noticed while time advances, by the name of the check. */
-  readonly noticed = new Map<string, string>()
+  readonly detectedProblems = new Map<string, string>()
   /** Log lines of every instance, for a failing trace. */
   readonly lines: string[] = []
   readonly failureDomains: readonly string[]
--- a/test/fuzz/oracle.ts
+++ b/test/fuzz/oracle.ts
@@ -160,13 +160,13 @@
 export function watch (site: FakeSite): void {
   for (const [name, check] of Object.entries({ WorkerNeverOvercommitted, ConfigurationNeverReverts })) {
     const [problem] = check(site)
-    if (problem !== undefined && !site.noticed.has(name)) site.noticed.set(name, problem)
+    if (problem !== undefined && !site.detectedProblems.has(name)) site.detectedProblems.set(name, problem)
   }
 }
 
 /** Throws an error that starts with the name of the first violated check. */
 export function assertChecks (site: FakeSite, checks: Readonly<Record<string, Check>> = CHECKS): void {
-  const [noticed] = site.noticed
+  const [noticed] = site.detectedProblems
   if (noticed !== undefined) throw new Error(noticed.join(': '))
   for (const [name, check] of Object.entries(checks)) {
     const [problem] = check(site)
