--- a/test/fakes/fakeSite.ts
+++ b/test/fakes/fakeSite.ts
@@ -92,7 +92,7 @@
   /** Problems noticed while time advances, by the name of the check. */
   readonly detectedProblems = new Map<string, string>()
   /** Log lines of every instance, for a failing trace. */
-  readonly lines: string[] = []
+  readonly logLines: string[] = []
   readonly failureDomains: readonly string[]
   private publishes = 0
   private allowedPercent = 100
@@ -157,7 +157,7 @@
         agent: new Agent()
       }
       const connections = this.options.wrapConnections?.(plain, process) ?? plain
-      const context = createEntryContext(settings, line => { this.lines.push(`${Math.round(performance.now())} ${line}`) }, incarnation, this.options.seed + this.startedInstances.length)
+      const context = createEntryContext(settings, line => { this.logLines.push(`${Math.round(performance.now())} ${line}`) }, incarnation, this.options.seed + this.startedInstances.length)
       const entry = assembleEntryInstance(context, connections)
       // Callers reach the parts directly; no socket is opened.
       entry.components.server.listen = async () => 1
