--- a/features/steps/serving.steps.ts
+++ b/features/steps/serving.steps.ts
@@ -123,7 +123,7 @@
 })
 
 Then(/^(\S+) has stopped without cutting off a request$/, function (this: ServingWorld, name: string) {
-  const { stoppedAt, cutOff } = instanceOf(siteOf(this), name)
+  const { stoppedAt, interruptedRequests: cutOff } = instanceOf(siteOf(this), name)
   assert.notEqual(stoppedAt, undefined)
   assert.equal(cutOff, 0)
 })
--- a/test/fakes/fakeSite.ts
+++ b/test/fakes/fakeSite.ts
@@ -67,7 +67,7 @@
   /** Monotonic time at which a planned stop began. */
   stopBeganAt: number | undefined
   stoppedAt: number | undefined
-  cutOff: number
+  interruptedRequests: number
 }
 
 const STEP_MILLISECONDS = 10
@@ -161,7 +161,7 @@
       const entry = assembleEntryInstance(context, connections)
       // Callers reach the parts directly; no socket is opened.
       entry.components.server.listen = async () => 1
-      const instance: StartedInstance = { name, failureDomain, incarnation, process, entry, connections, startedAt: performance.now(), highestRevision: 0, stopBeganAt: undefined, stoppedAt: undefined, cutOff: 0 }
+      const instance: StartedInstance = { name, failureDomain, incarnation, process, entry, connections, startedAt: performance.now(), highestRevision: 0, stopBeganAt: undefined, stoppedAt: undefined, interruptedRequests: 0 }
       this.startedInstances.push(instance)
       this.instances.set(name, instance)
       entry.start()
@@ -188,7 +188,7 @@
     instance.stopBeganAt = performance.now()
     this.directory.set({ kind: 'entry', name: instance.name, failureDomain: instance.failureDomain, address: 'ws://link.invalid', callerAddress: 'http://caller.invalid', state: 'leaving' })
     instance.process.run(async () => {
-      instance.cutOff = await instance.entry.stop()
+      instance.interruptedRequests = await instance.entry.stop()
       instance.stoppedAt = performance.now()
       this.directory.remove(instance.name)
     })
--- a/test/fuzz/oracle.ts
+++ b/test/fuzz/oracle.ts
@@ -82,7 +82,7 @@
 export function GracefulStop (site: FakeSite): string[] {
   const problems: string[] = []
   for (const instance of site.startedInstances.filter(({ stopBeganAt, process }) => stopBeganAt !== undefined && !process.isCrashed)) {
-    if (instance.cutOff > 0) problems.push(`${instance.incarnation} cut off ${instance.cutOff} requests`)
+    if (instance.interruptedRequests > 0) problems.push(`${instance.incarnation} cut off ${instance.interruptedRequests} requests`)
     if (instance.stoppedAt === undefined) continue
     for (const request of site.requests) {
       if (request.instance !== instance || wasDisturbed(site, request)) continue
