--- a/test/fakes/fakeSite.ts
+++ b/test/fakes/fakeSite.ts
@@ -65,7 +65,7 @@
   /** Highest revision seen in force in this incarnation. */
   highestRevision: number
   /** Monotonic time at which a planned stop began. */
-  stopBeganAt: number | undefined
+  stopStartedAt: number | undefined
   stoppedAt: number | undefined
   interruptedRequests: number
 }
@@ -161,7 +161,7 @@
       const entry = assembleEntryInstance(context, connections)
       // Callers reach the parts directly; no socket is opened.
       entry.components.server.listen = async () => 1
-      const instance: StartedInstance = { name, failureDomain, incarnation, process, entry, connections, startedAt: performance.now(), highestRevision: 0, stopBeganAt: undefined, stoppedAt: undefined, interruptedRequests: 0 }
+      const instance: StartedInstance = { name, failureDomain, incarnation, process, entry, connections, startedAt: performance.now(), highestRevision: 0, stopStartedAt: undefined, stoppedAt: undefined, interruptedRequests: 0 }
       this.startedInstances.push(instance)
       this.instances.set(name, instance)
       entry.start()
@@ -184,8 +184,8 @@
 
   /** Stops an instance gracefully; the stop goes on while time advances. */
   stop (instance: StartedInstance): void {
-    if (instance.stopBeganAt !== undefined || instance.process.isCrashed || instance.process.isPaused) return
-    instance.stopBeganAt = performance.now()
+    if (instance.stopStartedAt !== undefined || instance.process.isCrashed || instance.process.isPaused) return
+    instance.stopStartedAt = performance.now()
     this.directory.set({ kind: 'entry', name: instance.name, failureDomain: instance.failureDomain, address: 'ws://link.invalid', callerAddress: 'http://caller.invalid', state: 'leaving' })
     instance.process.run(async () => {
       instance.interruptedRequests = await instance.entry.stop()
--- a/test/fuzz/oracle.ts
+++ b/test/fuzz/oracle.ts
@@ -81,7 +81,7 @@
 /** A request of an instance that stopped as planned is answered whole, or as the fault of its executor or its deadline demands. */
 export function GracefulStop (site: FakeSite): string[] {
   const problems: string[] = []
-  for (const instance of site.startedInstances.filter(({ stopBeganAt, process }) => stopBeganAt !== undefined && !process.isCrashed)) {
+  for (const instance of site.startedInstances.filter(({ stopStartedAt: stopBeganAt, process }) => stopBeganAt !== undefined && !process.isCrashed)) {
     if (instance.interruptedRequests > 0) problems.push(`${instance.incarnation} cut off ${instance.interruptedRequests} requests`)
     if (instance.stoppedAt === undefined) continue
     for (const request of site.requests) {
@@ -96,7 +96,7 @@
 /** A planned stop ends within its time bound; a pause is not counted. */
 export function StopEndsInTime (site: FakeSite): string[] {
   return site.startedInstances.filter(({ stoppedAt, process }) => stoppedAt === undefined && !process.isCrashed && !process.isPaused)
-    .filter(({ stopBeganAt, process }) => stopBeganAt !== undefined && performance.now() > Math.max(stopBeganAt, process.wokeAt) + STOP_BOUND_MILLISECONDS + STOP_MARGIN_MILLISECONDS)
+    .filter(({ stopStartedAt: stopBeganAt, process }) => stopBeganAt !== undefined && performance.now() > Math.max(stopBeganAt, process.wokeAt) + STOP_BOUND_MILLISECONDS + STOP_MARGIN_MILLISECONDS)
     .map(({ incarnation }) => `${incarnation} has not stopped`)
 }
 
