--- a/test/fakes/fakeSite.ts
+++ b/test/fakes/fakeSite.ts
@@ -41,7 +41,7 @@
   readonly deadline: number
   /** `complete` means that the whole body arrived; `broken` that the connection broke before its end. */
   outcome: { kind: 'complete', status: number, body: string } | { kind: 'broken' } | { kind: 'error', code: string, verdict: Verdict, retryAfterSeconds: number | undefined } | undefined
-  answeredAt: number | undefined
+  endedAt: number | undefined
 }
 
 /** A submitted job and its answer. */
@@ -199,7 +199,7 @@
     if (instance.process.isCrashed || instance.stoppedAt !== undefined) return undefined
     const submission = `request-${this.requests.length}`
     const deadline = performance.now() + (details.deadlineMilliseconds ?? 3000)
-    const submitted: SubmittedRequest = { submission, service, key: details.key, instance, submittedAt: performance.now(), deadline, outcome: undefined, answeredAt: undefined }
+    const submitted: SubmittedRequest = { submission, service, key: details.key, instance, submittedAt: performance.now(), deadline, outcome: undefined, endedAt: undefined }
     this.requests.push(submitted)
     instance.process.deliver(() => { this.serve(submitted) })
     return submitted
@@ -283,7 +283,7 @@
     const { submission, service, key, deadline, instance } = submitted
     const finish = (outcome: SubmittedRequest['outcome']): void => {
       submitted.outcome = outcome
-      submitted.answeredAt = performance.now()
+      submitted.endedAt = performance.now()
     }
     const headers: Array<[string, string]> = [[SUBMISSION_HEADER, submission]]
     if (key !== undefined) headers.push([CALLER_HEADERS.idempotencyKey, key])
--- a/test/fuzz/oracle.ts
+++ b/test/fuzz/oracle.ts
@@ -140,7 +140,7 @@
 
 /** Every request of an instance that has not crashed is answered by its deadline, or soon after the instance woke. */
 export function EveryRequestAnswered (site: FakeSite): string[] {
-  return site.requests.flatMap(({ submission, instance: { process }, deadline, outcome, answeredAt }) => {
+  return site.requests.flatMap(({ submission, instance: { process }, deadline, outcome, endedAt: answeredAt }) => {
     if (process.isCrashed || process.isPaused) return []
     const latest = Math.max(deadline, process.wokeAt) + ANSWER_MARGIN_MILLISECONDS
     const at = outcome === undefined ? performance.now() : answeredAt ?? 0
