--- a/features/steps/serving.steps.ts
+++ b/features/steps/serving.steps.ts
@@ -139,7 +139,7 @@
 
 // The append may have taken effect although its answer never came, so neither notRun nor an acceptance would be true.
 Then('the job is answered mayHaveRun with its identity', function (this: ServingWorld) {
-  const answer = siteOf(this).jobs[0]?.answer
+  const answer = siteOf(this).jobs[0]?.result
   assert.equal(answer?.kind === 'error' ? answer.error.verdict : answer?.kind, 'mayHaveRun')
   assert.match(answer?.kind === 'error' && answer.error.code === 'outcomeUnknown' ? answer.error.job ?? '' : '', /^gent-[ab]\./)
 })
@@ -153,7 +153,7 @@
 
 Then('every accepted job has ended', function (this: ServingWorld) {
   const site = siteOf(this)
-  assert.ok(site.jobs.some(({ answer }) => answer?.kind === 'accepted'))
+  assert.ok(site.jobs.some(({ result: answer }) => answer?.kind === 'accepted'))
   assert.deepEqual(NoAcceptedJobLost(site), [])
   assert.equal([...site.workers.values()].flatMap(worker => worker.running).length, 0)
 })
--- a/test/fakes/fakeSite.ts
+++ b/test/fakes/fakeSite.ts
@@ -49,7 +49,7 @@
   readonly name: string
   readonly kind: JobSubmission['kind']
   readonly failureDomain: string
-  answer: JobAnswer | undefined
+  result: JobAnswer | undefined
   cancelled: boolean
 }
 
@@ -210,14 +210,14 @@
     const name = `job-${this.jobs.length}`
     const failureDomain = details.failureDomain ?? instance.failureDomain
     const submission: JobSubmission = { name, team: 'one', kind, urgency: 'normal', tasks: 1, resources: { processorsThousandths: 1000, memoryBytes: 1_000_000, accelerators: 0 }, runMilliseconds: kind === 'service' ? undefined : 2000, checkpointable: false, ...details, failureDomain }
-    const submitted: SubmittedJob = { name, kind, failureDomain, answer: undefined, cancelled: false }
+    const submitted: SubmittedJob = { name, kind, failureDomain, result: undefined, cancelled: false }
     this.jobs.push(submitted)
-    instance.process.deliver(async () => { submitted.answer = await instance.entry.components.jobs.submit(submission, name) })
+    instance.process.deliver(async () => { submitted.result = await instance.entry.components.jobs.submit(submission, name) })
     return submitted
   }
 
   cancelJob (instance: StartedInstance, job: SubmittedJob): void {
-    const { answer } = job
+    const { result: answer } = job
     if (answer?.kind !== 'accepted' || instance.process.isCrashed || instance.stoppedAt !== undefined) return
     instance.process.deliver(async () => {
       const cancelled = await instance.entry.components.jobs.cancel(answer.job)
--- a/test/fuzz/oracle.ts
+++ b/test/fuzz/oracle.ts
@@ -130,7 +130,7 @@
 
 /** Checked at the end: every accepted job has ended by the log, or all its tasks run. */
 export function NoAcceptedJobLost (site: FakeSite): string[] {
-  return site.jobs.flatMap(({ answer, name, kind, failureDomain }) => {
+  return site.jobs.flatMap(({ result: answer, name, kind, failureDomain }) => {
     if (answer?.kind !== 'accepted') return []
     const ended = site.log.recordsOf(`jobs.${failureDomain}`).some(({ body }) => (body as { type: string, job: unknown }).type === 'jobEnded' && (body as { job: unknown }).job === answer.job)
     const running = [...site.workers.values()].flatMap(worker => worker.running).filter(({ task }) => task.startsWith(`${answer.job}#`)).length
