--- a/test/fakes/fakeCluster.ts
+++ b/test/fakes/fakeCluster.ts
@@ -318,14 +318,14 @@
     for (const scheduler of this.schedulers) {
       scheduler.log.fault = 'none'
       for (const worker of this.workers.keys()) scheduler.pathTo(worker).fault = 'none'
-      scheduler.process.wake()
+      scheduler.process.resume()
     }
     for (const worker of this.workers.values()) worker.endKind = 'done'
   }
 
   dispose (): void {
     for (const scheduler of this.schedulers) {
-      scheduler.process.wake()
+      scheduler.process.resume()
       this.crashScheduler(scheduler)
     }
     this.clock.uninstall()
--- a/test/fakes/fakeSite.ts
+++ b/test/fakes/fakeSite.ts
@@ -254,7 +254,7 @@
     for (const executor of this.executors.values()) executor.faults.length = 0
     for (const name of this.directory.leavingSince.keys()) if (this.executors.has(name) || this.workers.has(name)) this.listMachine(name, 'live')
     for (const instance of this.instances.values()) {
-      instance.process.wake()
+      instance.process.resume()
       if (instance.process.isCrashed || instance.stoppedAt !== undefined) this.startInstance(instance.name, instance.failureDomain)
     }
   }
@@ -266,7 +266,7 @@
   /** Ends everything. Returns the number of timers that are left although every instance was disposed. */
   async dispose (): Promise<number> {
     for (const { process, entry } of this.startedInstances) {
-      process.wake()
+      process.resume()
       process.run(() => entry.dispose())
     }
     for (const worker of this.workers.values()) worker.dispose()
--- a/test/fakes/pausedClock.ts
+++ b/test/fakes/pausedClock.ts
@@ -42,7 +42,7 @@
     if (this.state === 'running') this.state = 'paused'
   }
 
-  wake (): void {
+  resume (): void {
     if (this.state !== 'paused') return
     this.state = 'running'
     this.wokeAt = performance.now()
--- a/test/fuzz/clusterFuzzer.ts
+++ b/test/fuzz/clusterFuzzer.ts
@@ -70,7 +70,7 @@
   { weight: 3, arbitrary: command('takeOver', [fc.constantFrom<PathFault>('none', 'none', 'slow')], (cluster, logFault) => { cluster.startScheduler(logFault) }) },
   { weight: 1, arbitrary: command('crashScheduler', [index], (cluster, position) => withScheduler(cluster, position, scheduler => cluster.crashScheduler(scheduler))) },
   { weight: 2, arbitrary: command('pauseScheduler', [index], (cluster, position) => withScheduler(cluster, position, scheduler => scheduler.process.pause())) },
-  { weight: 3, arbitrary: command('wakeSchedulers', [], cluster => { for (const scheduler of cluster.schedulers) scheduler.process.wake() }) },
+  { weight: 3, arbitrary: command('wakeSchedulers', [], cluster => { for (const scheduler of cluster.schedulers) scheduler.process.resume() }) },
   { weight: 3, arbitrary: command('logFault', [index, fc.constantFrom(...PATH_FAULTS)], (cluster, position, fault) => withScheduler(cluster, position, scheduler => { scheduler.log.fault = fault })) },
   {
     weight: 5,
--- a/test/fuzz/commands.ts
+++ b/test/fuzz/commands.ts
@@ -84,11 +84,11 @@
         const { process } = site.instanceAt(instance)
         process.pause()
         await site.advance(milliseconds)
-        process.wake()
+        process.resume()
       })
     },
     { weight: 1, arbitrary: command('pauseInstance', [index], (site, instance) => site.instanceAt(instance).process.pause()) },
-    { weight: 1, arbitrary: command('wakeAll', [], site => { for (const { process } of site.runningInstances()) process.wake() }) },
+    { weight: 1, arbitrary: command('wakeAll', [], site => { for (const { process } of site.runningInstances()) process.resume() }) },
     { weight: 1, arbitrary: command('cutFromPlatform', [index], (site, domain) => site.network.cut(at(site.failureDomains, domain), PLATFORM)) },
     { weight: 2, arbitrary: command('cutInstanceFromPlatform', [index], (site, instance) => site.network.cut(site.instanceAt(instance).name, PLATFORM)) },
     { weight: 1, arbitrary: command('cutDomains', [], site => site.network.cut('gent-a', 'gent-b')) },
