--- a/test/fakes/pausedClock.ts
+++ b/test/fakes/pausedClock.ts
@@ -14,7 +14,7 @@
   private readonly deferred: Array<() => void> = []
   readonly timers = new Set<TimerHandle>()
   /** Monotonic time until which the process was last paused. */
-  wokeAt = -Infinity
+  resumedAt = -Infinity
 
   constructor (readonly name: string, readonly failureDomain: string) {}
 
@@ -45,7 +45,7 @@
   resume (): void {
     if (this.state !== 'paused') return
     this.state = 'running'
-    this.wokeAt = performance.now()
+    this.resumedAt = performance.now()
     for (const work of this.deferred.splice(0)) this.deliver(work)
   }
 
--- a/test/fuzz/oracle.ts
+++ b/test/fuzz/oracle.ts
@@ -71,7 +71,7 @@
   for (const [name, leavingSince] of site.directory.leavingSince) {
     const arrivals = site.executors.get(name)?.arrivals ?? site.workers.get(name)?.intervals.map(({ startedBy, startedAt }) => ({ from: startedBy, at: startedAt })) ?? []
     for (const { from, at } of arrivals) {
-      const visibleSince = Math.max(leavingSince, from.wokeAt, site.network.openSince(from.failureDomain, PLATFORM), site.network.openSince(from.name, PLATFORM))
+      const visibleSince = Math.max(leavingSince, from.resumedAt, site.network.openSince(from.failureDomain, PLATFORM), site.network.openSince(from.name, PLATFORM))
       if (at > visibleSince + LEAVING_BOUND_MILLISECONDS + MESSAGE_MILLISECONDS) problems.push(`${name} received work of ${from.name} ${Math.round(at - visibleSince)} ms after its leaving could be seen`)
     }
   }
@@ -96,7 +96,7 @@
 /** A planned stop ends within its time bound; a pause is not counted. */
 export function StopEndsInTime (site: FakeSite): string[] {
   return site.startedInstances.filter(({ stoppedAt, process }) => stoppedAt === undefined && !process.isCrashed && !process.isPaused)
-    .filter(({ stopStartedAt: stopBeganAt, process }) => stopBeganAt !== undefined && performance.now() > Math.max(stopBeganAt, process.wokeAt) + STOP_BOUND_MILLISECONDS + STOP_MARGIN_MILLISECONDS)
+    .filter(({ stopStartedAt: stopBeganAt, process }) => stopBeganAt !== undefined && performance.now() > Math.max(stopBeganAt, process.resumedAt) + STOP_BOUND_MILLISECONDS + STOP_MARGIN_MILLISECONDS)
     .map(({ incarnation }) => `${incarnation} has not stopped`)
 }
 
@@ -142,7 +142,7 @@
 export function EveryRequestAnswered (site: FakeSite): string[] {
   return site.requests.flatMap(({ submission, instance: { process }, deadline, outcome, endedAt: answeredAt }) => {
     if (process.isCrashed || process.isPaused) return []
-    const latest = Math.max(deadline, process.wokeAt) + ANSWER_MARGIN_MILLISECONDS
+    const latest = Math.max(deadline, process.resumedAt) + ANSWER_MARGIN_MILLISECONDS
     const at = outcome === undefined ? performance.now() : answeredAt ?? 0
     return at > latest ? [`${submission} ${outcome === undefined ? 'has no answer' : 'was answered'} ${Math.round(at - deadline)} ms after its deadline`] : []
   })
