--- a/test/fakes/persistentCallers.ts
+++ b/test/fakes/persistentCallers.ts
@@ -11,7 +11,7 @@
   /** Answers 503 that do not say when to come back. */
   refusalsWithoutRetryAfter: number
   /** Requests that went out on a connection that had carried another one, and got no whole answer. */
-  brokenKept: number
+  brokenOnReusedConnection: number
   /** Requests that went out as the first one of their connection, and got no whole answer. */
   brokenFresh: number
   /** Attempts to connect that were refused, so that nothing was sent. */
@@ -22,7 +22,7 @@
 
 /** Callers that send their next request as soon as the last one has ended, each on one connection that it keeps. */
 export class PersistentCallers {
-  readonly counts: CallerCounts = { answers: {}, refusalsWithoutRetryAfter: 0, brokenKept: 0, brokenFresh: 0, refusedConnections: 0, errors: {} }
+  readonly counts: CallerCounts = { answers: {}, refusalsWithoutRetryAfter: 0, brokenOnReusedConnection: 0, brokenFresh: 0, refusedConnections: 0, errors: {} }
   private isStopped = false
   private readonly running: Array<Promise<void>> = []
 
@@ -87,7 +87,7 @@
   }
 
   private noteBroken (reason: string, reused: boolean): void {
-    if (reused) this.counts.brokenKept += 1
+    if (reused) this.counts.brokenOnReusedConnection += 1
     else this.counts.brokenFresh += 1
     this.counts.errors[reason] = (this.counts.errors[reason] ?? 0) + 1
   }
