--- a/test/fakes/persistentCallers.ts
+++ b/test/fakes/persistentCallers.ts
@@ -13,7 +13,7 @@
   /** Requests that went out on a connection that had carried another one, and got no whole answer. */
   brokenOnReusedConnection: number
   /** Requests that went out as the first one of their connection, and got no whole answer. */
-  brokenFresh: number
+  brokenOnNewConnection: number
   /** Attempts to connect that were refused, so that nothing was sent. */
   refusedConnections: number
   /** Error codes of broken requests, with their number. */
@@ -22,7 +22,7 @@
 
 /** Callers that send their next request as soon as the last one has ended, each on one connection that it keeps. */
 export class PersistentCallers {
-  readonly counts: CallerCounts = { answers: {}, refusalsWithoutRetryAfter: 0, brokenOnReusedConnection: 0, brokenFresh: 0, refusedConnections: 0, errors: {} }
+  readonly counts: CallerCounts = { answers: {}, refusalsWithoutRetryAfter: 0, brokenOnReusedConnection: 0, brokenOnNewConnection: 0, refusedConnections: 0, errors: {} }
   private isStopped = false
   private readonly running: Array<Promise<void>> = []
 
@@ -88,7 +88,7 @@
 
   private noteBroken (reason: string, reused: boolean): void {
     if (reused) this.counts.brokenOnReusedConnection += 1
-    else this.counts.brokenFresh += 1
+    else this.counts.brokenOnNewConnection += 1
     this.counts.errors[reason] = (this.counts.errors[reason] ?? 0) + 1
   }
 }
--- a/test/platform/plannedStop.test.ts
+++ b/test/platform/plannedStop.test.ts
@@ -93,7 +93,7 @@
       instance.process.kill('SIGTERM')
       const [status] = await ended
       await callers.stop()
-      const { brokenOnReusedConnection: brokenKept, brokenFresh, errors } = callers.counts
+      const { brokenOnReusedConnection: brokenKept, brokenOnNewConnection: brokenFresh, errors } = callers.counts
       assert.deepEqual({ brokenKept, brokenFresh, errors }, { brokenKept: 0, brokenFresh: 0, errors: {} })
       assert.equal(status, 0)
     } finally {
--- a/test/programs/plannedStop.test.ts
+++ b/test/programs/plannedStop.test.ts
@@ -79,7 +79,7 @@
       entry.process.kill('SIGTERM')
       const [status] = await ended
       await callers.stop()
-      const { brokenOnReusedConnection: brokenKept, brokenFresh, errors, refusalsWithoutRetryAfter } = callers.counts
+      const { brokenOnReusedConnection: brokenKept, brokenOnNewConnection: brokenFresh, errors, refusalsWithoutRetryAfter } = callers.counts
       assert.deepEqual({ brokenKept, brokenFresh, errors, refusalsWithoutRetryAfter }, { brokenKept: 0, brokenFresh: 0, errors: {}, refusalsWithoutRetryAfter: 0 })
       assert.equal(status, 0)
     } finally {
