--- a/test/entry/entryInstance.test.ts
+++ b/test/entry/entryInstance.test.ts
@@ -108,8 +108,8 @@
 async function connectKeptAlive (port: number): Promise<RawCaller> {
   const caller = new RawCaller(port)
   caller.write('GET /health HTTP/1.1\r\nhost: h\r\n\r\n')
-  await untilTrue(() => caller.text.includes('ok\n'))
-  caller.text = ''
+  await untilTrue(() => caller.received.includes('ok\n'))
+  caller.received = ''
   return caller
 }
 
@@ -117,6 +117,6 @@
   await untilTrue(() => caller.ended !== 'no')
   assert.deepEqual({ statuses: caller.statuses, closings: caller.closings, ended: caller.ended }, { statuses, closings: 1, ended: 'orderly' })
   const refusals = statuses.filter(status => status === 503).length
-  assert.equal(caller.text.split(/\r\nretry-after: 1\r\n/i).length - 1, refusals)
-  assert.equal(caller.text.split('"verdict":"notRun"').length - 1, refusals)
+  assert.equal(caller.received.split(/\r\nretry-after: 1\r\n/i).length - 1, refusals)
+  assert.equal(caller.received.split('"verdict":"notRun"').length - 1, refusals)
 }
--- a/test/fakes/rawCaller.ts
+++ b/test/fakes/rawCaller.ts
@@ -3,14 +3,14 @@
 /** A caller that writes bytes to a connection and keeps what comes back. */
 export class RawCaller {
   /** What has come back. */
-  text = ''
+  received = ''
   /** How the connection ended: by an orderly end of the peer, or by a reset. */
   ended: 'no' | 'orderly' | 'reset' = 'no'
   readonly socket: Socket
 
   constructor (port: number) {
     this.socket = connect(port, '127.0.0.1')
-    this.socket.on('data', data => { this.text += data.toString('latin1') })
+    this.socket.on('data', data => { this.received += data.toString('latin1') })
     this.socket.on('end', () => { if (this.ended === 'no') this.ended = 'orderly' })
     this.socket.on('error', () => { this.ended = 'reset' })
   }
@@ -21,12 +21,12 @@
 
   /** Statuses of the answers that have come back. */
   get statuses (): number[] {
-    return [...this.text.matchAll(/HTTP\/1\.1 (\d{3}) /g)].map(([, status]) => Number(status))
+    return [...this.received.matchAll(/HTTP\/1\.1 (\d{3}) /g)].map(([, status]) => Number(status))
   }
 
   /** Answers that announce the end of the connection. */
   get closings (): number {
-    return this.text.split(/\r\nconnection: close\r\n/i).length - 1
+    return this.received.split(/\r\nconnection: close\r\n/i).length - 1
   }
 }
 
--- a/test/links/httpServer.test.ts
+++ b/test/links/httpServer.test.ts
@@ -34,8 +34,8 @@
     caller.write(GET)
     await this.received(1)
     this.answerAll()
-    await untilTrue(() => caller.text.endsWith('ok'))
-    caller.text = ''
+    await untilTrue(() => caller.received.endsWith('ok'))
+    caller.received = ''
     return caller
   }
 
@@ -122,7 +122,7 @@
       await untilTrue(() => !fixture.server.isListening)
       fixture.answerAll()
       await endsAfter(caller, [200, 200, 200])
-      assert.match(caller.text, /connection: close(?!.*HTTP)/is)
+      assert.match(caller.received, /connection: close(?!.*HTTP)/is)
       assert.equal(await drained, 0)
     }
   },
@@ -210,11 +210,11 @@
       await fixture.received(1)
       const first = fixture.exchanges.shift()?.response as ServerResponse
       first.write('begun ')
-      await untilTrue(() => caller.text.includes('begun'))
+      await untilTrue(() => caller.received.includes('begun'))
       const drained = fixture.drain()
       await untilTrue(() => !fixture.server.isListening)
       first.end('ended')
-      await untilTrue(() => caller.text.includes('ended'))
+      await untilTrue(() => caller.received.includes('ended'))
       caller.write(GET)
       await fixture.received(1)
       fixture.answerAll()
@@ -249,7 +249,7 @@
       for (let turns = 0; turns < 20; turns += 1) await new Promise(resolve => setImmediate(resolve))
       caller.socket.resume()
       await endsAfter(caller, [200])
-      assert.ok(caller.text.endsWith('x'.repeat(LARGE_BYTES)))
+      assert.ok(caller.received.endsWith('x'.repeat(LARGE_BYTES)))
       assert.equal(await drained, 0)
     }
   }
@@ -286,7 +286,7 @@
         assert.deepEqual(callers.map(caller => caller.ended), ['no', 'no'])
         await clock.advance(1, 1)
         await untilTrue(() => callers.every(caller => caller.ended !== 'no'))
-        assert.deepEqual(callers.map(caller => [caller.text, caller.ended]), [['', 'orderly'], ['', 'orderly']])
+        assert.deepEqual(callers.map(caller => [caller.received, caller.ended]), [['', 'orderly'], ['', 'orderly']])
         assert.equal(await drained, 0)
       } finally {
         clock.uninstall()
@@ -311,7 +311,7 @@
       caller.write(GET.slice(0, 12))
       const drained = fixture.drain(500)
       await endsAfter(caller, [503])
-      assert.match(caller.text, /\r\nretry-after: 1\r\n/)
+      assert.match(caller.received, /\r\nretry-after: 1\r\n/)
       assert.equal(await drained, 0)
     }
   },
@@ -327,7 +327,7 @@
       await untilTrue(() => !fixture.server.isListening)
       const { response } = fixture.exchanges[0] as { response: ServerResponse }
       response.write('begun ')
-      await untilTrue(() => caller.text.includes('begun'))
+      await untilTrue(() => caller.received.includes('begun'))
       caller.write(GET)
       for (let turns = 0; turns < 20; turns += 1) await new Promise(resolve => setImmediate(resolve))
       response.end('ended')
--- a/test/platform/callerServer.test.ts
+++ b/test/platform/callerServer.test.ts
@@ -42,8 +42,8 @@
     const caller = new RawCaller(this.port)
     this.callers.push(caller)
     caller.write(GET)
-    await untilTrue(() => caller.text.includes('"waiting":3'))
-    caller.text = ''
+    await untilTrue(() => caller.received.includes('"waiting":3'))
+    caller.received = ''
     return caller
   }
 
@@ -127,7 +127,7 @@
       fixture.server.prepareStop(performance.now() + 50)
       caller.write(post('00000000000000aa').slice(0, -2))
       await endsAfter(caller, [503])
-      assert.match(caller.text, /\r\nretry-after: 1\r\n/)
+      assert.match(caller.received, /\r\nretry-after: 1\r\n/)
       assert.equal(fixture.stored.length, 0)
     }
   }
