--- a/test/entry/entryInstance.test.ts
+++ b/test/entry/entryInstance.test.ts
@@ -115,7 +115,7 @@
 
 async function assertAnsweredAndClosed (caller: RawCaller, statuses: readonly number[]): Promise<void> {
   await untilTrue(() => caller.ended !== 'no')
-  assert.deepEqual({ statuses: caller.statuses, closings: caller.closings, ended: caller.ended }, { statuses, closings: 1, ended: 'orderly' })
+  assert.deepEqual({ statuses: caller.statuses, closings: caller.closeHeaderCount, ended: caller.ended }, { statuses, closings: 1, ended: 'orderly' })
   const refusals = statuses.filter(status => status === 503).length
   assert.equal(caller.received.split(/\r\nretry-after: 1\r\n/i).length - 1, refusals)
   assert.equal(caller.received.split('"verdict":"notRun"').length - 1, refusals)
--- a/test/fakes/rawCaller.ts
+++ b/test/fakes/rawCaller.ts
@@ -25,7 +25,7 @@
   }
 
   /** Answers that announce the end of the connection. */
-  get closings (): number {
+  get closeHeaderCount (): number {
     return this.received.split(/\r\nconnection: close\r\n/i).length - 1
   }
 }
--- a/test/links/httpServer.test.ts
+++ b/test/links/httpServer.test.ts
@@ -63,7 +63,7 @@
 
 async function endsAfter (caller: RawCaller, statuses: readonly number[]): Promise<void> {
   await untilTrue(() => caller.ended !== 'no')
-  assert.deepEqual({ statuses: caller.statuses, closings: caller.closings, ended: caller.ended }, { statuses, closings: 1, ended: 'orderly' })
+  assert.deepEqual({ statuses: caller.statuses, closings: caller.closeHeaderCount, ended: caller.ended }, { statuses, closings: 1, ended: 'orderly' })
 }
 
 /** Each case guards against a planned stop that leaves a request without its whole answer, or resets its connection. */
--- a/test/platform/callerServer.test.ts
+++ b/test/platform/callerServer.test.ts
@@ -60,7 +60,7 @@
 
 async function endsAfter (caller: RawCaller, statuses: readonly number[]): Promise<void> {
   await untilTrue(() => caller.ended !== 'no')
-  assert.deepEqual({ statuses: caller.statuses, closings: caller.closings, ended: caller.ended }, { statuses, closings: 1, ended: 'orderly' })
+  assert.deepEqual({ statuses: caller.statuses, closings: caller.closeHeaderCount, ended: caller.ended }, { statuses, closings: 1, ended: 'orderly' })
 }
 
 /** Each case guards against a planned stop that breaks a channel after its process has read a request. */
