--- a/test/soak/instanceProcess.ts
+++ b/test/soak/instanceProcess.ts
@@ -11,7 +11,7 @@
 const RESTART_MILLISECONDS = 1000
 
 /** One process of the program, from start to end. Times are on the monotonic clock in milliseconds. */
-export interface Life {
+export interface ProcessState {
   readonly child: ChildProcess
   /** When SIGTERM was sent. */
   stoppedAt: number | undefined
@@ -34,7 +34,7 @@
 
 /** An instance of the program on its own loopback address, as the platform runs it: started, signalled, restarted. */
 export class InstanceProcess {
-  private current: Life | undefined
+  private current: ProcessState | undefined
   private readonly settingsPath: string
   private readonly logPath: string
   private isClosed = false
@@ -57,7 +57,7 @@
   }
 
   /** The running process. */
-  get life (): Life | undefined {
+  get life (): ProcessState | undefined {
     return this.current
   }
 
@@ -78,7 +78,7 @@
     const output = openSync(this.logPath, 'a')
     const child = spawn(process.execPath, PROGRAM, { stdio: ['ignore', output, output], env: { ...process.env, VANILLATURN_BOOT: this.settingsPath } })
     closeSync(output)
-    const life: Life = { child, stoppedAt: undefined, isKilled: false, pausedUntil: -Infinity, downMilliseconds: RESTART_MILLISECONDS, hasAnswered: false }
+    const life: ProcessState = { child, stoppedAt: undefined, isKilled: false, pausedUntil: -Infinity, downMilliseconds: RESTART_MILLISECONDS, hasAnswered: false }
     this.current = life
     this.observer.onStarted(this)
     child.once('exit', (code, signal) => this.onExit(life, code ?? signal))
@@ -127,7 +127,7 @@
     await ended
   }
 
-  private onExit (life: Life, how: number | string | null): void {
+  private onExit (life: ProcessState, how: number | string | null): void {
     this.current = undefined
     this.observer.onEnded(this, `${how}`)
     // A process that has not come to listen yet is ended by the signal itself.
--- a/test/soak/soakChecks.ts
+++ b/test/soak/soakChecks.ts
@@ -1,6 +1,6 @@
 import type { FakeWorker } from '../fakes/fakeClusterWorkers.js'
 import { ClusterOracle } from '../fuzz/clusterOracle.js'
-import type { InstanceProcess, Life } from './instanceProcess.js'
+import type { InstanceProcess, ProcessState } from './instanceProcess.js'
 import type { SoakJob, SoakSite } from './soakSite.js'
 
 /** Bounds that the platform states, in milliseconds. */
@@ -13,7 +13,7 @@
 /** A request that was sent to a process. */
 export interface SentRequest {
   readonly instance: InstanceProcess
-  readonly life: Life | undefined
+  readonly life: ProcessState | undefined
   readonly what: string
   /** On the monotonic clock in milliseconds. */
   readonly sentAt: number
