--- a/test/soak/instanceProcess.ts
+++ b/test/soak/instanceProcess.ts
@@ -57,7 +57,7 @@
   }
 
   /** The running process. */
-  get life (): ProcessState | undefined {
+  get process (): ProcessState | undefined {
     return this.current
   }
 
@@ -78,10 +78,10 @@
     const output = openSync(this.logPath, 'a')
     const child = spawn(process.execPath, PROGRAM, { stdio: ['ignore', output, output], env: { ...process.env, VANILLATURN_BOOT: this.settingsPath } })
     closeSync(output)
-    const life: ProcessState = { child, stoppedAt: undefined, isKilled: false, pausedUntil: -Infinity, downMilliseconds: RESTART_MILLISECONDS, hasAnswered: false }
-    this.current = life
+    const process: ProcessState = { child, stoppedAt: undefined, isKilled: false, pausedUntil: -Infinity, downMilliseconds: RESTART_MILLISECONDS, hasAnswered: false }
+    this.current = process
     this.observer.onStarted(this)
-    child.once('exit', (code, signal) => this.onExit(life, code ?? signal))
+    child.once('exit', (code, signal) => this.onExit(process, code ?? signal))
   }
 
   /** Ends the process at once; another one is started later. */
@@ -93,23 +93,23 @@
 
   /** Stops the process gracefully; another one is started some time after its end. */
   stop (downMilliseconds: number): void {
-    const life = this.current
-    if (life === undefined || life.stoppedAt !== undefined) return
-    Object.assign(life, { stoppedAt: performance.now(), downMilliseconds })
-    life.child.kill('SIGTERM')
+    const process = this.current
+    if (process === undefined || process.stoppedAt !== undefined) return
+    Object.assign(process, { stoppedAt: performance.now(), downMilliseconds })
+    process.child.kill('SIGTERM')
     setTimeout(() => {
-      if (this.current !== life || life.isKilled) return
-      if (life.pausedUntil < Number(life.stoppedAt)) this.observer.onLate(`GracefulStop: ${this.name} has not ended ${GRACE_MILLISECONDS} ms after SIGTERM`)
+      if (this.current !== process || process.isKilled) return
+      if (process.pausedUntil < Number(process.stoppedAt)) this.observer.onLate(`GracefulStop: ${this.name} has not ended ${GRACE_MILLISECONDS} ms after SIGTERM`)
       this.kill(downMilliseconds)
     }, GRACE_MILLISECONDS).unref()
   }
 
   pause (milliseconds: number): void {
-    const life = this.current
-    if (life === undefined) return
-    life.pausedUntil = Math.max(life.pausedUntil, performance.now() + milliseconds)
-    life.child.kill('SIGSTOP')
-    setTimeout(() => { if (performance.now() >= life.pausedUntil) life.child.kill('SIGCONT') }, milliseconds + 1)
+    const process = this.current
+    if (process === undefined) return
+    process.pausedUntil = Math.max(process.pausedUntil, performance.now() + milliseconds)
+    process.child.kill('SIGSTOP')
+    setTimeout(() => { if (performance.now() >= process.pausedUntil) process.child.kill('SIGCONT') }, milliseconds + 1)
   }
 
   /** Tells the process that its settings file has changed. One that does not handle signals yet would be ended by that. */
@@ -120,19 +120,19 @@
   /** Ends the process for good. */
   async close (): Promise<void> {
     this.isClosed = true
-    const life = this.current
-    if (life === undefined) return
-    const ended = new Promise(resolve => life.child.once('exit', resolve))
+    const process = this.current
+    if (process === undefined) return
+    const ended = new Promise(resolve => process.child.once('exit', resolve))
     this.kill(0)
     await ended
   }
 
-  private onExit (life: ProcessState, how: number | string | null): void {
+  private onExit (process: ProcessState, how: number | string | null): void {
     this.current = undefined
     this.observer.onEnded(this, `${how}`)
     // A process that has not come to listen yet is ended by the signal itself.
-    const isAsked = (life.stoppedAt !== undefined && (how === 0 || how === 'SIGTERM')) || (life.isKilled && how === 'SIGKILL')
+    const isAsked = (process.stoppedAt !== undefined && (how === 0 || how === 'SIGTERM')) || (process.isKilled && how === 'SIGKILL')
     if (!isAsked) this.observer.onProblem(`EndsByItself: ${this.name} ended with ${how}`)
-    setTimeout(() => this.start(), life.downMilliseconds)
+    setTimeout(() => this.start(), process.downMilliseconds)
   }
 }
