--- a/test/soak/callers.ts
+++ b/test/soak/callers.ts
@@ -114,7 +114,7 @@
 
   private async call (method: 'GET' | 'POST' | 'DELETE', path: string, body?: string): Promise<{ outcome: HttpOutcome, request: SentRequest }> {
     const instance = this.site.instances[this.instance] as SentRequest['instance']
-    const request = { instance, process: instance.process, what: `${method} ${path}`, sentAt: performance.now() }
+    const request = { instance, process: instance.process, description: `${method} ${path}`, sentAt: performance.now() }
     const headers = { host: 'jobs.example', 'vanillaturn-deadline-ms': String(TIME_LIMIT_MILLISECONDS) }
     const outcome = await this.http.call(instance.callersAddress, { method, path, body, headers, timeoutMilliseconds: TIME_LIMIT_MILLISECONDS })
     if (outcome.kind === 'answer' && request.process !== undefined && request.process === instance.process) request.process.hasAnswered = true
--- a/test/soak/soakChecks.ts
+++ b/test/soak/soakChecks.ts
@@ -14,7 +14,7 @@
 export interface SentRequest {
   readonly instance: InstanceProcess
   readonly process: ProcessState | undefined
-  readonly what: string
+  readonly description: string
   /** On the monotonic clock in milliseconds. */
   readonly sentAt: number
 }
@@ -50,7 +50,7 @@
   }
 
   /** A connection ended without an answer. */
-  onBroken ({ instance, process: life, what, sentAt }: SentRequest): void {
+  onBroken ({ instance, process: life, description: what, sentAt }: SentRequest): void {
     if (life === undefined || life.isKilled || life.pausedUntil + STABLE_WINDOW_MILLISECONDS > sentAt) return
     const duration = Math.round(performance.now() - sentAt)
     if (duration <= LOSS_SLACK_MILLISECONDS) this.cutUnread += 1
