--- a/test/soak/instanceProcess.ts
+++ b/test/soak/instanceProcess.ts
@@ -18,7 +18,7 @@
   isKilled: boolean
   /** End of the latest pause. */
   pausedUntil: number
-  downMilliseconds: number
+  restartDelayMilliseconds: number
   /** It has answered a caller. */
   hasAnswered: boolean
 }
@@ -78,7 +78,7 @@
     const output = openSync(this.logPath, 'a')
     const child = spawn(process.execPath, PROGRAM, { stdio: ['ignore', output, output], env: { ...process.env, VANILLATURN_BOOT: this.settingsPath } })
     closeSync(output)
-    const process: ProcessState = { child, stoppedAt: undefined, isKilled: false, pausedUntil: -Infinity, downMilliseconds: RESTART_MILLISECONDS, hasAnswered: false }
+    const process: ProcessState = { child, stoppedAt: undefined, isKilled: false, pausedUntil: -Infinity, restartDelayMilliseconds: RESTART_MILLISECONDS, hasAnswered: false }
     this.current = process
     this.observer.onStarted(this)
     child.once('exit', (code, signal) => this.onExit(process, code ?? signal))
@@ -87,7 +87,7 @@
   /** Ends the process at once; another one is started later. */
   kill (downMilliseconds: number): void {
     if (this.current === undefined) return
-    Object.assign(this.current, { isKilled: true, downMilliseconds })
+    Object.assign(this.current, { isKilled: true, restartDelayMilliseconds: downMilliseconds })
     this.current.child.kill('SIGKILL')
   }
 
@@ -95,7 +95,7 @@
   stop (downMilliseconds: number): void {
     const process = this.current
     if (process === undefined || process.stoppedAt !== undefined) return
-    Object.assign(process, { stoppedAt: performance.now(), downMilliseconds })
+    Object.assign(process, { stoppedAt: performance.now(), restartDelayMilliseconds: downMilliseconds })
     process.child.kill('SIGTERM')
     setTimeout(() => {
       if (this.current !== process || process.isKilled) return
@@ -133,6 +133,6 @@
     // A process that has not come to listen yet is ended by the signal itself.
     const isAsked = (process.stoppedAt !== undefined && (how === 0 || how === 'SIGTERM')) || (process.isKilled && how === 'SIGKILL')
     if (!isAsked) this.observer.onProblem(`EndsByItself: ${this.name} ended with ${how}`)
-    setTimeout(() => this.start(), process.downMilliseconds)
+    setTimeout(() => this.start(), process.restartDelayMilliseconds)
   }
 }
