--- a/test/soak/instanceProcess.ts
+++ b/test/soak/instanceProcess.ts
@@ -20,7 +20,7 @@
   pausedUntil: number
   restartDelayMilliseconds: number
   /** It has answered a caller. */
-  hasAnswered: boolean
+  hasResponded: boolean
 }
 
 /** What an instance tells about its processes. */
@@ -78,7 +78,7 @@
     const output = openSync(this.logPath, 'a')
     const child = spawn(process.execPath, PROGRAM, { stdio: ['ignore', output, output], env: { ...process.env, VANILLATURN_BOOT: this.settingsPath } })
     closeSync(output)
-    const process: ProcessState = { child, stoppedAt: undefined, isKilled: false, pausedUntil: -Infinity, restartDelayMilliseconds: RESTART_MILLISECONDS, hasAnswered: false }
+    const process: ProcessState = { child, stoppedAt: undefined, isKilled: false, pausedUntil: -Infinity, restartDelayMilliseconds: RESTART_MILLISECONDS, hasResponded: false }
     this.current = process
     this.observer.onStarted(this)
     child.once('exit', (code, signal) => this.onExit(process, code ?? signal))
@@ -114,7 +114,7 @@
 
   /** Tells the process that its settings file has changed. One that does not handle signals yet would be ended by that. */
   reload (): void {
-    if (this.current?.hasAnswered === true) this.current.child.kill('SIGHUP')
+    if (this.current?.hasResponded === true) this.current.child.kill('SIGHUP')
   }
 
   /** Ends the process for good. */
