--- a/test/soak/instanceProcess.ts
+++ b/test/soak/instanceProcess.ts
@@ -29,7 +29,7 @@
   onEnded (instance: InstanceProcess, how: string): void
   onProblem (problem: string): void
   /** A bound in time was not kept. */
-  onLate (problem: string): void
+  onMissedBound (problem: string): void
 }
 
 /** An instance of the program on its own loopback address, as the platform runs it: started, signalled, restarted. */
@@ -99,7 +99,7 @@
     process.child.kill('SIGTERM')
     setTimeout(() => {
       if (this.current !== process || process.isKilled) return
-      if (process.pausedUntil < Number(process.stoppedAt)) this.observer.onLate(`GracefulStop: ${this.name} has not ended ${GRACE_MILLISECONDS} ms after SIGTERM`)
+      if (process.pausedUntil < Number(process.stoppedAt)) this.observer.onMissedBound(`GracefulStop: ${this.name} has not ended ${GRACE_MILLISECONDS} ms after SIGTERM`)
       this.kill(downMilliseconds)
     }, GRACE_MILLISECONDS).unref()
   }
--- a/test/soak/soakSite.ts
+++ b/test/soak/soakSite.ts
@@ -195,7 +195,7 @@
     this.checks.note(problem)
   }
 
-  onLate (problem: string): void {
+  onMissedBound (problem: string): void {
     this.checks.noteLate(problem)
   }
 
