--- a/test/soak/soakChecks.ts
+++ b/test/soak/soakChecks.ts
@@ -36,7 +36,7 @@
   }
 
   /** Notes that a bound in time was not kept, unless the machine was too slow for it. */
-  noteLate (problem: string): void {
+  noteMissedBound (problem: string): void {
     if (this.site.isSlow) this.excused += 1
     else this.note(problem)
   }
@@ -54,7 +54,7 @@
     if (life === undefined || life.isKilled || life.pausedUntil + STABLE_WINDOW_MILLISECONDS > sentAt) return
     const duration = Math.round(performance.now() - sentAt)
     if (duration <= LOSS_SLACK_MILLISECONDS) this.cutUnread += 1
-    else this.noteLate(`WholeAnswer: ${instance.name} cut ${what} off after ${duration} ms${life.stoppedAt === undefined ? '' : ` and ${Math.round(performance.now() - life.stoppedAt)} ms after SIGTERM`}`)
+    else this.noteMissedBound(`WholeAnswer: ${instance.name} cut ${what} off after ${duration} ms${life.stoppedAt === undefined ? '' : ` and ${Math.round(performance.now() - life.stoppedAt)} ms after SIGTERM`}`)
   }
 
   onState (job: SoakJob, { instance, sentAt }: SentRequest, status: number, state: string): void {
--- a/test/soak/soakSite.ts
+++ b/test/soak/soakSite.ts
@@ -196,7 +196,7 @@
   }
 
   onMissedBound (problem: string): void {
-    this.checks.noteLate(problem)
+    this.checks.noteMissedBound(problem)
   }
 
   async dispose (): Promise<void> {
