--- a/test/soak/soakChecks.ts
+++ b/test/soak/soakChecks.ts
@@ -24,7 +24,7 @@
   /** Requests that were cut off so soon after they were sent that the process need not have read them. */
   cutUnread = 0
   /** Bounds in time that were not kept while the machine was slow. */
-  excused = 0
+  excusedBounds = 0
 
   constructor (private readonly site: SoakSite) {
     super()
@@ -37,7 +37,7 @@
 
   /** Notes that a bound in time was not kept, unless the machine was too slow for it. */
   noteMissedBound (problem: string): void {
-    if (this.site.isSlow) this.excused += 1
+    if (this.site.isSlow) this.excusedBounds += 1
     else this.note(problem)
   }
 
