--- a/test/soak/soak.ts
+++ b/test/soak/soak.ts
@@ -58,7 +58,7 @@
     await site.dispose()
   }
   const { jobs, checks, instances } = site
-  const summary = `${instances.length} instances, ${planned.length} faults, ${jobs.length} jobs, ${jobs.filter(job => job.acceptedAt !== undefined).length} accepted, ${jobs.filter(job => !job.mayRun).length} refused or not delivered, ${checks.cutUnread} requests cut unread, settled after ${Math.round(settledMilliseconds)} ms, ${checks.excusedBounds} bounds in time missed on a slow machine`
+  const summary = `${instances.length} instances, ${planned.length} faults, ${jobs.length} jobs, ${jobs.filter(job => job.acceptedAt !== undefined).length} accepted, ${jobs.filter(job => !job.mayRun).length} refused or not delivered, ${checks.interruptedUnread} requests cut unread, settled after ${Math.round(settledMilliseconds)} ms, ${checks.excusedBounds} bounds in time missed on a slow machine`
   writeFileSync(join(directory, 'soak.txt'), [`seed ${seed}, ${seconds} s, ${summary}`, ...site.history, ...checks.problems, ''].join('\n'))
   return { problems: checks.problems, summary, directory }
 }
--- a/test/soak/soakChecks.ts
+++ b/test/soak/soakChecks.ts
@@ -22,7 +22,7 @@
 /** Checks what callers are told against what workers have run. */
 export class SoakChecks extends ClusterOracle {
   /** Requests that were cut off so soon after they were sent that the process need not have read them. */
-  cutUnread = 0
+  interruptedUnread = 0
   /** Bounds in time that were not kept while the machine was slow. */
   excusedBounds = 0
 
@@ -53,7 +53,7 @@
   onBroken ({ instance, process: life, description: what, sentAt }: SentRequest): void {
     if (life === undefined || life.isKilled || life.pausedUntil + STABLE_WINDOW_MILLISECONDS > sentAt) return
     const duration = Math.round(performance.now() - sentAt)
-    if (duration <= LOSS_SLACK_MILLISECONDS) this.cutUnread += 1
+    if (duration <= LOSS_SLACK_MILLISECONDS) this.interruptedUnread += 1
     else this.noteMissedBound(`WholeAnswer: ${instance.name} cut ${what} off after ${duration} ms${life.stoppedAt === undefined ? '' : ` and ${Math.round(performance.now() - life.stoppedAt)} ms after SIGTERM`}`)
   }
 
