--- a/test/soak/callers.ts
+++ b/test/soak/callers.ts
@@ -118,7 +118,7 @@
     const headers = { host: 'jobs.example', 'vanillaturn-deadline-ms': String(TIME_LIMIT_MILLISECONDS) }
     const outcome = await this.http.call(instance.callersAddress, { method, path, body, headers, timeoutMilliseconds: TIME_LIMIT_MILLISECONDS })
     if (outcome.kind === 'answer' && request.process !== undefined && request.process === instance.process) request.process.hasResponded = true
-    if (outcome.kind === 'unknown' && outcome.reason !== 'timed out') this.site.checks.onBroken(request)
+    if (outcome.kind === 'unknown' && outcome.reason !== 'timed out') this.site.checks.onConnectionBroken(request)
     if (outcome.kind !== 'answer' || outcome.status >= 500) this.changeInstance()
     return { outcome, request }
   }
--- a/test/soak/soakChecks.ts
+++ b/test/soak/soakChecks.ts
@@ -50,7 +50,7 @@
   }
 
   /** A connection ended without an answer. */
-  onBroken ({ instance, process: life, description: what, sentAt }: SentRequest): void {
+  onConnectionBroken ({ instance, process: life, description: what, sentAt }: SentRequest): void {
     if (life === undefined || life.isKilled || life.pausedUntil + STABLE_WINDOW_MILLISECONDS > sentAt) return
     const duration = Math.round(performance.now() - sentAt)
     if (duration <= LOSS_SLACK_MILLISECONDS) this.interruptedUnread += 1
