--- a/test/soak/callers.ts
+++ b/test/soak/callers.ts
@@ -109,7 +109,7 @@
 
   private async askWaiting (queue: string): Promise<void> {
     const { outcome, request } = await this.call('GET', `/${queue}/`)
-    if (outcome.kind === 'answer' && outcome.status === 200) this.site.checks.onWaiting(queue, request, JSON.parse(outcome.body.toString()).waiting)
+    if (outcome.kind === 'answer' && outcome.status === 200) this.site.checks.onWaitingCount(queue, request, JSON.parse(outcome.body.toString()).waiting)
   }
 
   private async call (method: 'GET' | 'POST' | 'DELETE', path: string, body?: string): Promise<{ outcome: HttpOutcome, request: SentRequest }> {
--- a/test/soak/soakChecks.ts
+++ b/test/soak/soakChecks.ts
@@ -66,7 +66,7 @@
     if (state === 'failed' && !this.expectedStates(job).includes('failed')) this.note(`NoJobLost: ${instance.name} shows ${job.identity} as failed without cause`)
   }
 
-  onWaiting (queue: string, { instance, sentAt }: SentRequest, waiting: number): void {
+  onWaitingCount (queue: string, { instance, sentAt }: SentRequest, waiting: number): void {
     if (!this.site.isInTouch(instance)) return
     const expected = this.site.jobs.filter(job => job.queue === queue && job.acceptedAt !== undefined && job.acceptedAt + WAITING_AGE_MILLISECONDS < sentAt && !job.isCancelled && !this.hasStarted(job.identity))
     if (2 * waiting < expected.length) this.note(`WaitingCount: ${instance.name} says that ${waiting} jobs of ${queue} wait, ${expected.length} do: ${expected[0]?.identity}`)
