--- a/test/soak/soak.ts
+++ b/test/soak/soak.ts
@@ -91,5 +91,5 @@
   const states = await Promise.all(callers.map(async (caller, index) => await caller.settle(shares[index] ?? [], signal)))
   const clearBy = performance.now() + CLEAR_MILLISECONDS
   while (site.isRunningAnything && performance.now() < clearBy) await delay(POLL_MILLISECONDS)
-  site.checks.checkStatesInTheEnd(new Map(states.flatMap(share => [...share])))
+  site.checks.checkFinalStates(new Map(states.flatMap(share => [...share])))
 }
--- a/test/soak/soakChecks.ts
+++ b/test/soak/soakChecks.ts
@@ -73,7 +73,7 @@
   }
 
   /** What must hold at the end. `states`: the final state of each job that was accepted, as shown. */
-  checkStatesInTheEnd (states: ReadonlyMap<SoakJob, string>): void {
+  checkFinalStates (states: ReadonlyMap<SoakJob, string>): void {
     for (const job of this.site.jobs) {
       if (!job.mayRun && this.hasStarted(job.identity)) this.note(`NotRunMeansNotRun: every attempt to submit ${job.identity} was refused, and it ran`)
       const state = states.get(job) ?? 'unknown'
