--- a/test/soak/faults.ts
+++ b/test/soak/faults.ts
@@ -154,7 +154,7 @@
 function strikeInstances (site: SoakSite, { scope, instance }: PlannedFault): readonly InstanceProcess[] {
   switch (scope) {
     case 'one': return [site.instances[instance % site.instances.length] as InstanceProcess]
-    case 'holder': return [site.holder]
+    case 'holder': return [site.activeSchedulerInstance]
     case 'all': return site.instances
   }
 }
--- a/test/soak/soakSite.ts
+++ b/test/soak/soakSite.ts
@@ -108,7 +108,7 @@
   }
 
   /** The instance that holds the role of acting scheduler as the log says, or else the first one. */
-  get holder (): InstanceProcess {
+  get activeSchedulerInstance (): InstanceProcess {
     const value = this.log.latestValue(TOPICS.leadership, 'scheduler')
     const name = value === undefined ? undefined : decodeRecord<LeadershipRecord>(value).instance
     return this.instances.find(instance => instance.name === name) ?? this.instances[0] as InstanceProcess
