--- a/test/soak/soak.ts
+++ b/test/soak/soak.ts
@@ -90,6 +90,6 @@
   const shares = callers.map((_, index) => site.jobs.filter((_, position) => position % callers.length === index))
   const states = await Promise.all(callers.map(async (caller, index) => await caller.settle(shares[index] ?? [], signal)))
   const clearBy = performance.now() + CLEAR_MILLISECONDS
-  while (site.isRunningAnything && performance.now() < clearBy) await delay(POLL_MILLISECONDS)
+  while (site.hasRunningTasks && performance.now() < clearBy) await delay(POLL_MILLISECONDS)
   site.checks.checkFinalStates(new Map(states.flatMap(share => [...share])))
 }
--- a/test/soak/soakSite.ts
+++ b/test/soak/soakSite.ts
@@ -114,7 +114,7 @@
     return this.instances.find(instance => instance.name === name) ?? this.instances[0] as InstanceProcess
   }
 
-  get isRunningAnything (): boolean {
+  get hasRunningTasks (): boolean {
     for (const worker of this.workers.values()) worker.expire()
     return [...this.workers.values()].some(worker => worker.running.size > 0)
   }
