--- a/test/soak/faults.ts
+++ b/test/soak/faults.ts
@@ -114,7 +114,7 @@
   logRefuses: log(1, site => { site.log.fault = 'refused' }),
   logLosesAnswers: log(1, site => { site.log.fault = 'answerLost' }),
   logSlow: log(1, site => { site.log.appendMilliseconds = SLOW_APPEND_MILLISECONDS }),
-  workerRestarts: worker(2, (one, site) => site.endWorker(one), (one, site) => site.startWorker(one)),
+  workerRestarts: worker(2, (one, site) => site.crashWorker(one), (one, site) => site.startWorker(one)),
   workerReplaced: worker(1, (one, site) => { site.replaceWorker(one) }),
   workerFailsRuns: worker(1, one => { one.endKind = 'failed' }),
   workerLosesAnswers: worker(1, one => { one.fault = 'answerLost' }),
--- a/test/soak/soakSite.ts
+++ b/test/soak/soakSite.ts
@@ -133,7 +133,7 @@
   }
 
   /** The worker's process ends. It starts again under its identity once its paths are open again. */
-  endWorker (worker: FakeWorker): void {
+  crashWorker (worker: FakeWorker): void {
     for (const instance of this.instances) this.setWorkerPath(instance, worker, 'reset')
     worker.restart()
   }
@@ -147,7 +147,7 @@
 
   /** The worker ends for good, and another one joins. */
   async replaceWorker (worker: FakeWorker): Promise<void> {
-    this.endWorker(worker)
+    this.crashWorker(worker)
     this.workers.delete(worker.identity)
     this.standins.get(worker.identity)?.dispose()
     this.log.write(WORKER_TOPIC, worker.identity, undefined)
