--- a/test/soak/faults.ts
+++ b/test/soak/faults.ts
@@ -70,7 +70,7 @@
   return {
     weight,
     begin: site => {
-      site.disturb(site.instances, MAXIMUM_MILLISECONDS)
+      site.markUnstable(site.instances, MAXIMUM_MILLISECONDS)
       set(site)
       return () => Object.assign(site.log, { fault: 'none', appendMilliseconds: APPEND_MILLISECONDS })
     }
@@ -145,7 +145,7 @@
   const instances = strikeInstances(site, planned)
   const workers = [...site.workers.values()]
   const struckWorker = workers[planned.worker % workers.length] as FakeWorker
-  site.disturb(instances, planned.durationMilliseconds)
+  site.markUnstable(instances, planned.durationMilliseconds)
   const end = KINDS[planned.kind]?.begin(site, { ...planned, instances, struckWorker })
   const line = `${new Date().toISOString()} ${planned.atMilliseconds} ms: ${planned.kind} of ${instances.map(({ name }) => name).join(', ')}; worker ${struckWorker.identity}, path ${planned.pathFault}, ${planned.durationMilliseconds} ms`
   return { line, end }
--- a/test/soak/soakSite.ts
+++ b/test/soak/soakSite.ts
@@ -168,7 +168,7 @@
   }
 
   /** Notes that instances are out of touch for some time. */
-  disturb (instances: readonly InstanceProcess[], milliseconds: number): void {
+  markUnstable (instances: readonly InstanceProcess[], milliseconds: number): void {
     for (const instance of instances) this.disturbedUntil.set(instance, Math.max(this.disturbedUntil.get(instance) ?? 0, performance.now() + milliseconds + STABLE_WINDOW_MILLISECONDS))
   }
 
@@ -183,12 +183,12 @@
   }
 
   onStarted (instance: InstanceProcess): void {
-    this.disturb([instance], 0)
+    this.markUnstable([instance], 0)
   }
 
   onEnded (instance: InstanceProcess, how: string): void {
     this.history.push(`${new Date().toISOString()} ${instance.name} ended with ${how}`)
-    this.disturb([instance], 0)
+    this.markUnstable([instance], 0)
   }
 
   onProblem (problem: string): void {
