--- a/test/soak/soakChecks.ts
+++ b/test/soak/soakChecks.ts
@@ -45,7 +45,7 @@
     super.onDidStart(worker, task, run)
     const now = performance.now()
     const job = this.site.jobs.find(({ identity }) => task.startsWith(`${identity}.`))
-    if (job?.cancelledAt === undefined || now < job.cancelledAt + CANCEL_MILLISECONDS || !this.site.instances.every(instance => this.site.isInTouch(instance))) return
+    if (job?.cancelledAt === undefined || now < job.cancelledAt + CANCEL_MILLISECONDS || !this.site.instances.every(instance => this.site.isStable(instance))) return
     this.note(`Unasked: ${task} run ${run} was started on ${worker.identity} ${Math.round(now - job.cancelledAt)} ms after its job was cancelled`)
   }
 
@@ -67,7 +67,7 @@
   }
 
   onWaitingCount (queue: string, { instance, sentAt }: SentRequest, waiting: number): void {
-    if (!this.site.isInTouch(instance)) return
+    if (!this.site.isStable(instance)) return
     const expected = this.site.jobs.filter(job => job.queue === queue && job.acceptedAt !== undefined && job.acceptedAt + WAITING_AGE_MILLISECONDS < sentAt && !job.isCancelled && !this.hasStarted(job.identity))
     if (2 * waiting < expected.length) this.note(`WaitingCount: ${instance.name} says that ${waiting} jobs of ${queue} wait, ${expected.length} do: ${expected[0]?.identity}`)
   }
--- a/test/soak/soakSite.ts
+++ b/test/soak/soakSite.ts
@@ -173,7 +173,7 @@
   }
 
   /** Whether an instance and its paths have been without faults for the stable window. */
-  isInTouch (instance: InstanceProcess): boolean {
+  isStable (instance: InstanceProcess): boolean {
     return !this.isSlow && performance.now() > (this.disturbedUntil.get(instance) ?? 0)
   }
 
