--- a/test/soak/soak.ts
+++ b/test/soak/soak.ts
@@ -48,7 +48,7 @@
   try {
     await site.start(INSTANCES.least + random.integerBelow(INSTANCES.most - INSTANCES.least + 1), WORKERS)
     while (callers.length < CALLERS) callers.push(new Caller(site, new Random(random.integerBelow(2 ** 31))))
-    await site.untilReady(READY_MILLISECONDS)
+    await site.waitUntilReady(READY_MILLISECONDS)
     await underTraffic(callers, async () => await strike(site, planned))
     const settlingAt = performance.now()
     await settle(site, callers)
--- a/test/soak/soakSite.ts
+++ b/test/soak/soakSite.ts
@@ -91,7 +91,7 @@
   }
 
   /** Waits until every instance is ready for callers; throws if one is not in time. */
-  async untilReady (milliseconds: number): Promise<void> {
+  async waitUntilReady (milliseconds: number): Promise<void> {
     const http = new HttpCaller(1)
     const latest = performance.now() + milliseconds
     for (const { name, readinessAddress } of this.instances) {
