--- a/test/soak/faults.ts
+++ b/test/soak/faults.ts
@@ -141,7 +141,7 @@
 }
 
 /** Begins a fault; returns a line that says what was struck, and what ends it, if it does not end by itself. */
-export function beginFault (site: SoakSite, planned: PlannedFault): { readonly line: string, readonly end: (() => void) | undefined } {
+export function injectFault (site: SoakSite, planned: PlannedFault): { readonly line: string, readonly end: (() => void) | undefined } {
   const instances = strikeInstances(site, planned)
   const workers = [...site.workers.values()]
   const struckWorker = workers[planned.worker % workers.length] as FakeWorker
--- a/test/soak/soak.ts
+++ b/test/soak/soak.ts
@@ -3,7 +3,7 @@
 import { delay } from '../../src/base/delay.js'
 import { Random } from '../../src/base/random.js'
 import { Caller } from './callers.js'
-import { beginFault, planFaults, type PlannedFault } from './faults.js'
+import { injectFault, planFaults, type PlannedFault } from './faults.js'
 import { SoakSite } from './soakSite.js'
 
 /** Longest wait for all instances to be ready at the start, in milliseconds. */
@@ -77,7 +77,7 @@
   const ends: Array<Promise<void>> = []
   for (const fault of planned) {
     await delay(startedAt + fault.atMilliseconds - performance.now())
-    const { line, end } = beginFault(site, fault)
+    const { line, end } = injectFault(site, fault)
     site.history.push(line)
     ends.push(delay(fault.durationMilliseconds).then(end))
   }
