--- a/test/soak/logStandin.ts
+++ b/test/soak/logStandin.ts
@@ -1,12 +1,12 @@
 import type { AppendOptions, AppendOutcome, StoredRecord } from '../../src/cluster/recordLog.js'
 import type { FakeRecordLog } from '../fakes/fakeRecordLog.js'
 import { decodeRecords, encodeRecords, READ_HEADER_BYTES } from '../../platform/logClient.js'
-import { LoopbackStandin, type StandinAnswer, type StandinRequest } from './loopbackStandin.js'
+import { LoopbackStandin, type StandinResponse, type StandinRequest } from './loopbackStandin.js'
 
 /** Most items of a page of newest records. */
 const PAGE_ITEMS = 500
 const DEFAULT_READ_KILOBYTES = 1024
-const UNAVAILABLE: StandinAnswer = { status: 503, body: {} }
+const UNAVAILABLE: StandinResponse = { status: 503, body: {} }
 
 /** Changes the value of a record for one reader. */
 export type Translate = (topic: string, record: StoredRecord) => Uint8Array | undefined
@@ -17,7 +17,7 @@
     super()
   }
 
-  protected override async answer ({ url, body }: StandinRequest): Promise<StandinAnswer> {
+  protected override async answer ({ url, body }: StandinRequest): Promise<StandinResponse> {
     const topic = url.searchParams.get('topic') ?? ''
     const partition = Number(url.searchParams.get('part'))
     switch (url.pathname) {
@@ -28,7 +28,7 @@
     }
   }
 
-  private async read (topic: string, partition: number, query: URLSearchParams): Promise<StandinAnswer> {
+  private async read (topic: string, partition: number, query: URLSearchParams): Promise<StandinResponse> {
     const outcome = await this.log.read(topic, partition, Number(query.get('from')), Number(query.get('waitMs')))
     if (outcome.kind === 'unavailable') return UNAVAILABLE
     if (outcome.kind === 'expired') return { status: 410, body: { first: outcome.first } }
@@ -45,7 +45,7 @@
     return { status: 200, body: Buffer.concat(parts) }
   }
 
-  private async newest (topic: string, partition: number, after: string): Promise<StandinAnswer> {
+  private async newest (topic: string, partition: number, after: string): Promise<StandinResponse> {
     const outcome = await this.log.snapshot(topic, partition)
     if (outcome.kind === 'unavailable') return UNAVAILABLE
     const records = outcome.records.filter(record => record.key > after).sort((left, right) => left.key < right.key ? -1 : 1)
@@ -63,7 +63,7 @@
   }
 }
 
-function encodeAppend (outcome: AppendOutcome): StandinAnswer {
+function encodeAppend (outcome: AppendOutcome): StandinResponse {
   switch (outcome.kind) {
     case 'stored': return { status: 200, body: { end: outcome.end } }
     case 'conflict': return { status: 412, body: { end: outcome.end } }
--- a/test/soak/loopbackStandin.ts
+++ b/test/soak/loopbackStandin.ts
@@ -9,7 +9,7 @@
   readonly body: Buffer
 }
 
-export interface StandinAnswer {
+export interface StandinResponse {
   readonly status: number
   readonly body: object | Buffer
 }
@@ -31,5 +31,5 @@
     return this
   }
 
-  protected abstract answer (request: StandinRequest): Promise<StandinAnswer>
+  protected abstract answer (request: StandinRequest): Promise<StandinResponse>
 }
--- a/test/soak/workerStandin.ts
+++ b/test/soak/workerStandin.ts
@@ -1,8 +1,8 @@
 import type { PollOutcome, CommandOutcome } from '../../src/cluster/workerPort.js'
 import type { FakeWorker } from '../fakes/fakeClusterWorkers.js'
-import { LoopbackStandin, type StandinAnswer, type StandinRequest } from './loopbackStandin.js'
+import { LoopbackStandin, type StandinResponse, type StandinRequest } from './loopbackStandin.js'
 
-const MISDIRECTED: StandinAnswer = { status: 421, body: {} }
+const MISDIRECTED: StandinResponse = { status: 421, body: {} }
 
 /** A worker over HTTP. */
 export class WorkerStandin extends LoopbackStandin {
@@ -17,7 +17,7 @@
     return Buffer.from(JSON.stringify({ service: pool, addr: this.hostAndPort, zone: failureDomain, state, room, labels, born: bornAt, sequence }))
   }
 
-  protected override async answer ({ url, headers, body }: StandinRequest): Promise<StandinAnswer> {
+  protected override async answer ({ url, headers, body }: StandinRequest): Promise<StandinResponse> {
     const { worker } = this
     if (headers.get('vanillaturn-target-instance') !== worker.identity) return MISDIRECTED
     const order = JSON.parse(body.toString())
@@ -30,7 +30,7 @@
   }
 }
 
-function encodeLook (outcome: PollOutcome, clockMs: number): StandinAnswer {
+function encodeLook (outcome: PollOutcome, clockMs: number): StandinResponse {
   switch (outcome.kind) {
     case 'report': {
       const { clockMilliseconds, bornAt, running, ended } = outcome.report
@@ -48,7 +48,7 @@
   }
 }
 
-function encodeOrder (outcome: CommandOutcome, clockMs: number): StandinAnswer {
+function encodeOrder (outcome: CommandOutcome, clockMs: number): StandinResponse {
   switch (outcome.kind) {
     case 'done': return { status: 200, body: { clockMs } }
     case 'fenced': return { status: 409, body: { clockMs, reason: 'fence' } }
