--- a/test/soak/logStandin.ts
+++ b/test/soak/logStandin.ts
@@ -17,7 +17,7 @@
     super()
   }
 
-  protected override async answer ({ url, body }: StandinRequest): Promise<StandinResponse> {
+  protected override async handle ({ url, body }: StandinRequest): Promise<StandinResponse> {
     const topic = url.searchParams.get('topic') ?? ''
     const partition = Number(url.searchParams.get('part'))
     switch (url.pathname) {
--- a/test/soak/loopbackStandin.ts
+++ b/test/soak/loopbackStandin.ts
@@ -24,12 +24,12 @@
   async listen (): Promise<this> {
     const app = new H3()
     app.all('/**', async ({ url, req }) => {
-      const { status, body } = await this.answer({ url, headers: req.headers, body: Buffer.from(await req.arrayBuffer()) })
+      const { status, body } = await this.handle({ url, headers: req.headers, body: Buffer.from(await req.arrayBuffer()) })
       return new Response(Buffer.isBuffer(body) ? new Uint8Array(body) : JSON.stringify(body), { status })
     })
     await this.listenFor(app, LOOPBACK, 0)
     return this
   }
 
-  protected abstract answer (request: StandinRequest): Promise<StandinResponse>
+  protected abstract handle (request: StandinRequest): Promise<StandinResponse>
 }
--- a/test/soak/workerStandin.ts
+++ b/test/soak/workerStandin.ts
@@ -17,7 +17,7 @@
     return Buffer.from(JSON.stringify({ service: pool, addr: this.hostAndPort, zone: failureDomain, state, room, labels, born: bornAt, sequence }))
   }
 
-  protected override async answer ({ url, headers, body }: StandinRequest): Promise<StandinResponse> {
+  protected override async handle ({ url, headers, body }: StandinRequest): Promise<StandinResponse> {
     const { worker } = this
     if (headers.get('vanillaturn-target-instance') !== worker.identity) return MISDIRECTED
     const order = JSON.parse(body.toString())
