--- a/test/soak/logStandin.ts
+++ b/test/soak/logStandin.ts
@@ -9,11 +9,11 @@
 const UNAVAILABLE: StandinResponse = { status: 503, body: {} }
 
 /** Changes the value of a record for one reader. */
-export type Translate = (topic: string, record: StoredRecord) => Uint8Array | undefined
+export type RewriteValue = (topic: string, record: StoredRecord) => Uint8Array | undefined
 
 /** The platform's log over HTTP, as one instance sees it. */
 export class LogStandin extends LoopbackStandin {
-  constructor (private readonly log: FakeRecordLog, private readonly translate: Translate) {
+  constructor (private readonly log: FakeRecordLog, private readonly translate: RewriteValue) {
     super()
   }
 
