--- a/test/fakes/fakeCluster.ts
+++ b/test/fakes/fakeCluster.ts
@@ -14,7 +14,7 @@
 
 const BOUNDS = { workerLeaseMilliseconds: 6000, graceMilliseconds: 6000, stateRetentionMilliseconds: 120_000 }
 
-/** Runs of one task that may fail before its job fails. */
+/** Number of failed runs of one task after which its job fails. */
 export const MAXIMUM_ATTEMPTS = 3
 
 const CONFIGURATION: ClusterConfiguration = {
@@ -26,42 +26,42 @@
   maximumBodyBytes: 100_000
 }
 
-/** Step of the clock, in milliseconds. */
+/** Step by which the clock advances, in milliseconds. */
 const STEP_MILLISECONDS = 10
-/** Time limits of calls, in milliseconds; those of the real clients. */
-const ORDER_TIMEOUT_MILLISECONDS = 400
-const LOOK_SLACK_MILLISECONDS = 600
+/** Timeouts of calls in milliseconds, the same as those of the real clients. */
+const COMMAND_TIMEOUT_MILLISECONDS = 400
+const POLL_SLACK_MILLISECONDS = 600
 const LOG_TIMEOUT_MILLISECONDS = 2000
-/** One way from a scheduler to a worker or the log, at most, in milliseconds. */
+/** Longest one-way delay between a scheduler and a worker or the log, in milliseconds. */
 const MAXIMUM_DELAY_MILLISECONDS = 8
-/** Delays of a slow path and of calls that are carried out late, in milliseconds. */
+/** One-way delays on a path with the fault `slow` or `late`, in milliseconds. */
 const SLOW_MILLISECONDS = 240
 const LATE_MILLISECONDS = 3000
-/** How long a former scheduler may go on renewing its role after a successor has claimed it, in milliseconds. */
+/** Time for which a former scheduler may continue to renew its role after a successor has claimed it, in milliseconds. */
 const OVERLAP_MILLISECONDS = 3000
-/** Time that a gang takes, and that a member waits for the others, in milliseconds. */
+/** Run time of a gang, and the time after which a member stops waiting for the others, in milliseconds. */
 const GANG_RUN_MILLISECONDS = 1000
 const GANG_WAIT_MILLISECONDS = 3000
-/** Rate of a worker's clock that runs slow. */
+/** Rate of a slow worker clock relative to the true clock. */
 export const SLOW_CLOCK_RATE = 0.98
 
-/** A path between a scheduler and a worker or the log: calls do not arrive, are carried out without an answer, or both late. */
+/** Fault of a path between a scheduler and a worker or the log: calls are dropped, executed without a response, executed late without a response, or delayed. */
 export type PathFault = 'none' | 'cut' | 'answerLost' | 'late' | 'slow'
 
-/** Carries calls of one process over a path. */
+/** Delivers the calls of one process over a path with faults. */
 class Path {
   fault: PathFault = 'none'
 
   constructor (private readonly clock: PausedClock, private readonly process: SimulatedProcess, private readonly random: Random) {}
 
-  /** The result of the call, or `onTimeout` if it does not come in time. */
-  async call<T> (carryOut: () => Promise<T>, timeoutMilliseconds: number, onTimeout: T): Promise<T> {
+  /** Returns the result of the call, or `timeoutResult` after the timeout. */
+  async call<T> (execute: () => Promise<T>, timeoutMilliseconds: number, timeoutResult: T): Promise<T> {
     const fault = this.fault
     return await new Promise<T>(resolve => {
-      this.clock.after(timeoutMilliseconds, () => this.process.deliver(() => resolve(onTimeout)))
+      this.clock.after(timeoutMilliseconds, () => this.process.deliver(() => resolve(timeoutResult)))
       if (fault === 'cut') return
       this.clock.after(this.delay(fault), () => {
-        carryOut().then(result => {
+        execute().then(result => {
           if (fault === 'answerLost' || fault === 'late' || this.fault === 'cut') return
           this.clock.after(this.delay(fault), () => this.process.deliver(() => resolve(result)))
         })
@@ -76,7 +76,7 @@
   }
 }
 
-/** The log as one process reaches it. */
+/** The log as reached by one process over a path. */
 class LogOverPath extends RecordLog {
   constructor (private readonly log: FakeRecordLog, private readonly path: Path) {
     super()
@@ -95,63 +95,66 @@
   }
 }
 
-/** The workers as one process reaches them. */
+/** The workers as reached by one process, over a path to each. */
 export class WorkersOverPaths extends WorkerPort {
-  /** Process of each worker that the connection for looks leads to. */
+  /** Start time of the worker process to which the polling connection is open, by worker. */
   private readonly connectedTo = new Map<string, number>()
 
   constructor (private readonly workers: ReadonlyMap<string, FakeWorker>, private readonly pathTo: (worker: string) => Path) {
     super()
   }
 
-  override async poll ({ identity }: WorkerAddress, order: PollRequest): Promise<PollOutcome> {
-    const sent = this.isStillConnected(identity) ? order : { ...order, acknowledgedEnd: 0 }
-    const outcome = await this.call<PollOutcome>(identity, async worker => await worker.poll(sent), LOOK_SLACK_MILLISECONDS + order.waitMilliseconds, { kind: 'failed', reason: 'timed out' })
-    if (order.isInSequence && outcome.kind === 'report') this.connectedTo.set(identity, outcome.report.bornAt)
+  override async poll ({ identity }: WorkerAddress, request: PollRequest): Promise<PollOutcome> {
+    const sent = this.isStillConnected(identity) ? request : { ...request, acknowledgedEnd: 0 }
+    const outcome = await this.call<PollOutcome>(identity, async worker => await worker.poll(sent), POLL_SLACK_MILLISECONDS + request.waitMilliseconds, { kind: 'failed', reason: 'timed out' })
+    if (request.isInSequence && outcome.kind === 'report') this.connectedTo.set(identity, outcome.report.bornAt)
     return outcome
   }
 
-  /** A connection ends with the process that it leads to. */
+  /** A connection breaks when the worker process at its other end exits. */
   isStillConnected (identity: string): boolean {
     return this.connectedTo.get(identity) === this.workers.get(identity)?.bornAt
   }
 
-  override async start ({ identity }: WorkerAddress, order: StartCommand): Promise<CommandOutcome> {
-    return await this.call<CommandOutcome>(identity, async worker => await worker.start(order), ORDER_TIMEOUT_MILLISECONDS, { kind: 'unknown', reason: 'timed out' })
+  override async start ({ identity }: WorkerAddress, command: StartCommand): Promise<CommandOutcome> {
+    return await this.call<CommandOutcome>(identity, async worker => await worker.start(command), COMMAND_TIMEOUT_MILLISECONDS, { kind: 'unknown', reason: 'timed out' })
   }
 
   override async stop ({ identity }: WorkerAddress, task: string, run: number, term: number): Promise<CommandOutcome> {
-    return await this.call<CommandOutcome>(identity, async worker => await worker.stop(task, run, term), ORDER_TIMEOUT_MILLISECONDS, { kind: 'unknown', reason: 'timed out' })
+    return await this.call<CommandOutcome>(identity, async worker => await worker.stop(task, run, term), COMMAND_TIMEOUT_MILLISECONDS, { kind: 'unknown', reason: 'timed out' })
   }
 
-  private async call<T> (identity: string, carryOut: (worker: FakeWorker) => Promise<T>, timeoutMilliseconds: number, onTimeout: T): Promise<T> {
+  private async call<T> (identity: string, execute: (worker: FakeWorker) => Promise<T>, timeoutMilliseconds: number, timeoutResult: T): Promise<T> {
     const worker = this.workers.get(identity)
-    const born = worker?.bornAt
+    const targetBornAt = worker?.bornAt
     return await this.pathTo(identity).call(async () => {
-      const present = this.workers.get(identity)
-      // A call that was sent to a process that has ended since is lost with it.
-      if (present === undefined || present.bornAt !== born) return onTimeout
-      return await carryOut(present)
-    }, timeoutMilliseconds, onTimeout)
+      const current = this.workers.get(identity)
+      // A call is lost if the worker process to which it was sent exits before it arrives.
+      if (current === undefined || current.bornAt !== targetBornAt) return timeoutResult
+      return await execute(current)
+    }, timeoutMilliseconds, timeoutResult)
   }
 }
 
-/** Timers of the surroundings. */
+/** Timers outside every simulated process. */
 export interface Timers {
   after (milliseconds: number, work: () => void): unknown
 }
 
-/** What an observer of workers needs to know of the cluster. */
+/** The workers and jobs of a cluster as observers read them. */
 export interface ClusterView {
   readonly workers: ReadonlyMap<string, FakeWorker>
   readonly jobs: readonly SubmittedStepJob[]
 }
 
-/** Ends the members of gangs together: done once all have been present for a while, broken if one ends otherwise, alone if one waits too long. Passes on what it observes. */
+/**
+ * Ends the members of gangs together: `done` after all have run together for the gang's run time, `broken` if one ends otherwise,
+ * `alone` if one waits too long for the others. Forwards all events to another observer.
+ */
 export class GangSimulator implements FakeWorkerObserver {
   constructor (private readonly timers: Timers, private readonly view: ClusterView, private readonly observer: FakeWorkerObserver) {}
 
-  /** Names of the tasks of the gang that a task belongs to; empty if it belongs to none. */
+  /** Returns the names of all tasks in the gang of a task; empty if the task belongs to no gang. */
   membersOf (task: string): string[] {
     const [identity, occurrence, index] = task.split('.')
     const step = this.view.jobs.find(job => job.identity === identity)?.job.steps[Number(index)]
@@ -163,11 +166,11 @@
     this.observer.onDidStart(worker, task, run)
     const members = this.membersOf(task)
     if (members.length === 0) return
-    // The start is noted by its worker after this.
+    // The worker registers the run as running only after this event.
     this.timers.after(0, () => {
-      if (this.areAllPresent(members, run)) this.timers.after(GANG_RUN_MILLISECONDS, () => { if (this.areAllPresent(members, run)) this.endAll(members, run, 'done') })
+      if (this.areAllRunning(members, run)) this.timers.after(GANG_RUN_MILLISECONDS, () => { if (this.areAllRunning(members, run)) this.endAll(members, run, 'done') })
     })
-    this.timers.after(GANG_WAIT_MILLISECONDS, () => { if (!this.areAllPresent(members, run)) this.endAll([task], run, 'alone') })
+    this.timers.after(GANG_WAIT_MILLISECONDS, () => { if (!this.areAllRunning(members, run)) this.endAll([task], run, 'alone') })
   }
 
   onDidEnd (worker: FakeWorker, end: EndReport): void {
@@ -180,7 +183,7 @@
     this.observer.onDidAcknowledgeEnd(worker, end)
   }
 
-  private areAllPresent (members: readonly string[], run: number): boolean {
+  private areAllRunning (members: readonly string[], run: number): boolean {
     for (const worker of this.view.workers.values()) worker.expire()
     return members.every(member => [...this.view.workers.values()].some(worker => worker.running.get(member)?.run === run))
   }
@@ -193,7 +196,7 @@
   }
 }
 
-/** One scheduler in a process of its own. */
+/** One scheduler in its own simulated process. */
 export interface StartedScheduler {
   readonly process: SimulatedProcess
   readonly term: number
@@ -205,52 +208,52 @@
   isSuperseded: boolean
 }
 
-/** A job that was handed in, with the shape of its steps. */
+/** A submitted job with its steps. */
 export interface SubmittedStepJob {
   readonly identity: string
   readonly job: StepJob
   isCancelled: boolean
 }
 
-/** Workers, a log and schedulers that follow each other, on a paused clock. */
+/** Workers, a log and successive schedulers on a paused clock. */
 export class FakeCluster implements ClusterView {
   readonly clock = new PausedClock()
   readonly log = new FakeRecordLog()
   readonly workers = new Map<string, FakeWorker>()
   readonly schedulers: StartedScheduler[] = []
   readonly jobs: SubmittedStepJob[] = []
-  private readonly gangs: GangSimulator
+  private readonly gangSimulator: GangSimulator
   private readonly random: Random
   private workerCount = 0
 
   constructor (seed: number, private readonly observer: FakeWorkerObserver & { onStep (cluster: FakeCluster): void }) {
     this.random = new Random(seed)
-    this.gangs = new GangSimulator(this.clock, this, observer)
+    this.gangSimulator = new GangSimulator(this.clock, this, observer)
   }
 
-  /** Schedulers that run and have not been shut out. */
+  /** Schedulers whose process runs and that have not been superseded. */
   get runningSchedulers (): StartedScheduler[] {
     return this.schedulers.filter(scheduler => !scheduler.process.isCrashed && !scheduler.isSuperseded)
   }
 
   addWorker (): FakeWorker {
     this.workerCount += 1
-    const worker = new FakeWorker(`w${this.workerCount}`, 2, task => this.gangs.membersOf(task).length > 0 ? Infinity : 300 + 700 * (Number(task.at(-1)) % 5))
+    const worker = new FakeWorker(`w${this.workerCount}`, 2, task => this.gangSimulator.membersOf(task).length > 0 ? Infinity : 300 + 700 * (Number(task.at(-1)) % 5))
     worker.clockRate = this.workerCount % 2 === 0 ? SLOW_CLOCK_RATE : 1
-    worker.observer = this.gangs
+    worker.observer = this.gangSimulator
     this.workers.set(worker.identity, worker)
-    for (const { process, activeScheduler: acting } of this.runningSchedulers) process.deliver(() => acting.setWorker(worker.entry))
+    for (const { process, activeScheduler } of this.runningSchedulers) process.deliver(() => activeScheduler.setWorker(worker.entry))
     return worker
   }
 
-  /** The worker's process ends for good; its entry goes. */
+  /** Ends the worker's process permanently and removes its registry entry. */
   removeWorker (worker: FakeWorker): void {
     worker.restart()
     this.workers.delete(worker.identity)
-    for (const { process, activeScheduler: acting } of this.runningSchedulers) process.deliver(() => acting.removeWorker(worker.identity))
+    for (const { process, activeScheduler } of this.runningSchedulers) process.deliver(() => activeScheduler.removeWorker(worker.identity))
   }
 
-  /** Another instance takes the role over; the former scheduler goes on until it is shut out. `logFault`: how the successor reaches the log. */
+  /** Starts a scheduler with the next term. The former one continues until it is superseded. `logFault` is the fault of the successor's path to the log. */
   startScheduler (logFault: PathFault = 'none'): StartedScheduler {
     const term = this.schedulers.length + 1
     const now = performance.now()
@@ -267,30 +270,30 @@
     log.fault = logFault
     const scheduler: StartedScheduler = { process, term, log, pathTo, renewedAt: now, supersededAt: Infinity, isSuperseded: false, activeScheduler: undefined as never }
     process.run(() => {
-      const acting = new ActiveScheduler(new LogOverPath(this.log, log), new WorkersOverPaths(this.workers, pathTo), {
+      const activeScheduler = new ActiveScheduler(new LogOverPath(this.log, log), new WorkersOverPaths(this.workers, pathTo), {
         term,
         bounds: BOUNDS,
         renewedAt: () => scheduler.renewedAt,
         eligibilityChannels: () => [],
         onSuperseded: () => {
           scheduler.isSuperseded = true
-          acting.dispose()
+          activeScheduler.dispose()
         }
       }, new ClusterMetrics(), new Logger(process.name, 'error', () => {}), new Random(term), () => performance.now())
-      Object.assign(scheduler, { activeScheduler: acting })
-      acting.takeOver(CONFIGURATION, [...this.workers.values()].map(worker => worker.entry))
+      Object.assign(scheduler, { activeScheduler })
+      activeScheduler.takeOver(CONFIGURATION, [...this.workers.values()].map(worker => worker.entry))
     })
     this.schedulers.push(scheduler)
     return scheduler
   }
 
-  /** The scheduler's process ends at once. */
+  /** Ends the scheduler's process at once, without a shutdown. */
   crashScheduler (scheduler: StartedScheduler): void {
     scheduler.process.crash()
     scheduler.activeScheduler.dispose()
   }
 
-  /** Hands a job in; it is accepted once the log holds it. */
+  /** Submits a job, which counts as accepted once the log has stored it. */
   submit (queue: 'urgent' | 'batch', steps: readonly object[]): void {
     const identity = `j${this.jobs.length}`
     const job = stepJobSchema.parse({ specification: 'text', steps })
@@ -304,7 +307,7 @@
     this.clock.after(0, () => { this.log.append(TOPICS.submissions, 0, [{ key: cancelKey(job.identity), value: Buffer.from([1]) }]) })
   }
 
-  /** Advances the clock; a scheduler is started if none is left. */
+  /** Advances the clock. Starts a scheduler first if none is running. */
   async advance (milliseconds: number): Promise<void> {
     if (this.runningSchedulers.length === 0) this.startScheduler()
     await this.clock.advance(milliseconds, STEP_MILLISECONDS, () => {
@@ -313,7 +316,7 @@
     })
   }
 
-  /** Ends all faults. Schedulers that were frozen wake. */
+  /** Removes all faults and resumes paused schedulers. */
   heal (): void {
     for (const scheduler of this.schedulers) {
       scheduler.log.fault = 'none'
--- a/test/fakes/fakeClusterWorkers.ts
+++ b/test/fakes/fakeClusterWorkers.ts
@@ -1,16 +1,19 @@
 import { WorkerPort, type EndKind, type EndReport, type PollRequest, type PollOutcome, type CommandOutcome, type StartCommand, type WorkerAddress, type WorkerEntry } from '../../src/cluster/workerPort.js'
 
-/** What a fake worker does with the next orders: answers, carries out without an answer, drops, or refuses as unhealthy or for want of a valid ticket. */
+/**
+ * How a fake worker handles commands: executes them, executes them without a response, drops them, executes them late without a
+ * response, or refuses them as unhealthy or because of an invalid ticket.
+ */
 export type CommandFault = 'none' | 'answerLost' | 'notDelivered' | 'late' | 'unhealthy' | 'ticket'
 
-/** Longest lease that a worker grants, in milliseconds on its clock. */
+/** Longest lease that a worker accepts, in milliseconds on its clock. */
 const LONGEST_LEASE_MILLISECONDS = 6000
 
-/** What a worker does, for checks. */
+/** Receives the events of fake workers. */
 export interface FakeWorkerObserver {
   onDidStart (worker: FakeWorker, task: string, run: number): void
   onDidEnd (worker: FakeWorker, end: EndReport): void
-  /** An end was acknowledged, and is listed no more. */
+  /** The scheduler has acknowledged an end, so that the worker no longer reports it. */
   onDidAcknowledgeEnd (worker: FakeWorker, end: EndReport): void
 }
 
@@ -21,15 +24,15 @@
   readonly startedAt: number
 }
 
-/** Time after which a fake worker carries an order of fault `late` out, in milliseconds. */
+/** Delay before a command is executed under the fault `late`, in milliseconds. */
 const LATE_MILLISECONDS = 3000
 
-/** One worker with leases, fencing and room for a number of runs. Records starts that break a promise. */
+/** One worker with leases, fencing and capacity for a number of runs. Records starts that exceed its capacity. */
 export class FakeWorker {
   readonly running = new Map<string, FakeRun>()
   readonly ended: EndReport[] = []
   readonly started: string[] = []
-  /** Starts beyond the worker's room. */
+  /** Starts beyond the worker's capacity, as `task/run`. */
   readonly overcommitted: string[] = []
   readonly stoppedRuns = new Map<string, number>()
   term = 0
@@ -37,27 +40,27 @@
   acknowledgedEnd = 0
   pollCount = 0
   stopCount = 0
-  /** How long a run goes on after its stop. */
+  /** Time for which a run continues after a stop command. */
   stopMilliseconds = 0
   isReachable = true
   fault: CommandFault = 'none'
-  /** How runs end by themselves. */
+  /** Kind of the end of a run that was not stopped. */
   endKind: EndKind = 'done'
   state: WorkerEntry['state'] = 'ready'
   bornAt = 1
-  /** Rate of the worker's clock against the true one. */
+  /** Rate of the worker's clock relative to the true clock. */
   clockRate = 1
   observer: FakeWorkerObserver | undefined
-  /** When a lease last ended, on the true clock in milliseconds. */
+  /** Time on the true clock at which a lease last lapsed, in milliseconds. */
   lapsedAt = -Infinity
   private clockStart = 0
   private endCount = 0
   private readonly waiters = new Set<() => void>()
 
-  /** `durationMilliseconds`: how long a run goes on; one of `Infinity` ends only through `endIfRunning`. */
+  /** `durationMilliseconds` returns the run time of a task; a run of `Infinity` ends only through `endIfRunning`. */
   constructor (readonly identity: string, readonly capacity: number, private readonly durationMilliseconds: (task: string) => number) {}
 
-  /** The worker's own steady clock, in milliseconds. */
+  /** The worker's own monotonic clock, in milliseconds. */
   get clock (): number {
     return (performance.now() - this.clockStart) * this.clockRate
   }
@@ -66,7 +69,7 @@
     return { identity: this.identity, pool: 'pool', address: `${this.identity}:1`, failureDomain: 'a', state: this.state, processorsThousandths: this.capacity * 1000, memoryMegabytes: 1_000_000, accelerators: 0, labels: ['kind', 'rack'], bornAt: this.bornAt }
   }
 
-  /** The process ends and starts again under the same identity. */
+  /** Simulates a restart of the worker's process under the same identity. */
   restart (): void {
     this.running.clear()
     this.ended.length = 0
@@ -79,19 +82,19 @@
     this.bornAt += 1
   }
 
-  async poll (order: PollRequest): Promise<PollOutcome> {
+  async poll (request: PollRequest): Promise<PollOutcome> {
     this.pollCount += 1
-    if (!this.isReachable) return await afterMilliseconds(order.waitMilliseconds + 600, { kind: 'failed', reason: 'timed out' })
-    if (order.term < this.term) return { kind: 'fenced' }
-    this.term = order.term
+    if (!this.isReachable) return await afterMilliseconds(request.waitMilliseconds + 600, { kind: 'failed', reason: 'timed out' })
+    if (request.term < this.term) return { kind: 'fenced' }
+    this.term = request.term
     this.expire()
-    if (order.leaseUntil !== undefined) this.extendLease(order.leaseUntil)
-    this.forget(order.acknowledgedEnd)
-    if (order.waitMilliseconds > 0 && this.unacknowledged().length === 0) await this.untilEnd(order.waitMilliseconds)
+    if (request.leaseUntil !== undefined) this.extendLease(request.leaseUntil)
+    this.acknowledge(request.acknowledgedEnd)
+    if (request.waitMilliseconds > 0 && this.unacknowledged().length === 0) await this.waitForEnd(request.waitMilliseconds)
     this.expire()
     return {
       kind: 'report',
-      acknowledgedEnd: order.acknowledgedEnd,
+      acknowledgedEnd: request.acknowledgedEnd,
       report: {
         clockMilliseconds: this.clock,
         bornAt: this.bornAt,
@@ -101,49 +104,49 @@
     }
   }
 
-  async start (order: StartCommand): Promise<CommandOutcome> {
-    return await this.withFault(() => this.carryOutStart(order))
+  async start (command: StartCommand): Promise<CommandOutcome> {
+    return await this.executeWithFault(() => this.executeStart(command))
   }
 
   async stop (task: string, run: number, term: number): Promise<CommandOutcome> {
-    return await this.withFault(() => this.carryOutStop(task, run, term))
+    return await this.executeWithFault(() => this.executeStop(task, run, term))
   }
 
-  private async withFault (carryOut: () => CommandOutcome): Promise<CommandOutcome> {
+  private async executeWithFault (execute: () => CommandOutcome): Promise<CommandOutcome> {
     if (!this.isReachable || this.fault === 'notDelivered') return await afterMilliseconds(400, { kind: 'unknown', reason: 'timed out' })
     if (this.fault === 'unhealthy' || this.fault === 'ticket') return { kind: 'refused', reason: this.fault }
     if (this.fault === 'late') {
-      setTimeout(carryOut, LATE_MILLISECONDS)
+      setTimeout(execute, LATE_MILLISECONDS)
       return await afterMilliseconds(400, { kind: 'unknown', reason: 'timed out' })
     }
-    const outcome = carryOut()
+    const outcome = execute()
     if (this.fault === 'answerLost') return await afterMilliseconds(400, { kind: 'unknown', reason: 'timed out' })
     return outcome
   }
 
-  private carryOutStart (order: StartCommand): CommandOutcome {
+  private executeStart (command: StartCommand): CommandOutcome {
     this.expire()
-    if (order.term < this.term) return { kind: 'fenced' }
-    this.term = order.term
-    if (order.leaseUntil <= this.clock) return { kind: 'refused', reason: 'late' }
-    this.extendLease(order.leaseUntil)
-    if (order.run <= (this.stoppedRuns.get(order.task) ?? 0)) return { kind: 'refused', reason: 'old' }
-    if (this.running.get(order.task)?.run === order.run) return { kind: 'done' }
-    this.observer?.onDidStart(this, order.task, order.run)
-    if (this.running.size >= this.capacity) this.overcommitted.push(`${order.task}/${order.run}`)
-    this.started.push(`${order.task}/${order.run}`)
-    const duration = this.durationMilliseconds(order.task)
-    this.running.set(order.task, { task: order.task, run: order.run, startedAt: performance.now(), endsAt: performance.now() + duration })
+    if (command.term < this.term) return { kind: 'fenced' }
+    this.term = command.term
+    if (command.leaseUntil <= this.clock) return { kind: 'refused', reason: 'late' }
+    this.extendLease(command.leaseUntil)
+    if (command.run <= (this.stoppedRuns.get(command.task) ?? 0)) return { kind: 'refused', reason: 'old' }
+    if (this.running.get(command.task)?.run === command.run) return { kind: 'done' }
+    this.observer?.onDidStart(this, command.task, command.run)
+    if (this.running.size >= this.capacity) this.overcommitted.push(`${command.task}/${command.run}`)
+    this.started.push(`${command.task}/${command.run}`)
+    const duration = this.durationMilliseconds(command.task)
+    this.running.set(command.task, { task: command.task, run: command.run, startedAt: performance.now(), endsAt: performance.now() + duration })
     if (duration === Infinity) return { kind: 'done' }
     const bornAt = this.bornAt
     setTimeout(() => {
       this.expire()
-      if (this.bornAt === bornAt) this.endIfRunning(order.task, order.run, this.endKind)
+      if (this.bornAt === bornAt) this.endIfRunning(command.task, command.run, this.endKind)
     }, duration)
     return { kind: 'done' }
   }
 
-  private carryOutStop (task: string, run: number, term: number): CommandOutcome {
+  private executeStop (task: string, run: number, term: number): CommandOutcome {
     if (term < this.term) return { kind: 'fenced' }
     this.term = term
     this.stopCount += 1
@@ -153,7 +156,7 @@
     return { kind: 'done' }
   }
 
-  /** Ends a run, as if by itself. */
+  /** Ends a run with the given kind, unless it is no longer running. */
   endIfRunning (task: string, run: number, kind: EndKind): void {
     if (this.running.get(task)?.run !== run) return
     this.running.delete(task)
@@ -162,12 +165,12 @@
     const end = { number: this.endCount, task, run, kind, checkpoint: '' }
     this.ended.push(end)
     this.observer?.onDidEnd(this, end)
-    // The scheduler has already told this process to forget it.
+    // The scheduler had already acknowledged an end with this number, so this end is never reported.
     if (this.endCount <= this.acknowledgedEnd) this.observer?.onDidAcknowledgeEnd(this, end)
     for (const wake of [...this.waiters]) wake()
   }
 
-  /** Ends everything if the lease is over. */
+  /** Ends all runs if the lease has lapsed. */
   expire (): void {
     if (this.clock < this.leaseEnd) return
     this.lapsedAt = this.clockStart + this.leaseEnd / this.clockRate
@@ -178,7 +181,7 @@
     this.leaseEnd = Math.max(this.leaseEnd, Math.min(until, this.clock + LONGEST_LEASE_MILLISECONDS))
   }
 
-  private forget (end: number): void {
+  private acknowledge (end: number): void {
     if (end <= this.acknowledgedEnd) return
     for (const report of this.ended) {
       if (report.number > this.acknowledgedEnd && report.number <= end) this.observer?.onDidAcknowledgeEnd(this, report)
@@ -190,7 +193,7 @@
     return this.ended.filter(end => end.number > this.acknowledgedEnd)
   }
 
-  private async untilEnd (milliseconds: number): Promise<void> {
+  private async waitForEnd (milliseconds: number): Promise<void> {
     await new Promise<void>(resolve => {
       const wake = (): void => {
         clearTimeout(timer)
@@ -203,7 +206,7 @@
   }
 }
 
-/** Orders to fake workers. */
+/** Sends polls and commands to fake workers in memory. */
 export class FakeWorkerPort extends WorkerPort {
   readonly workers = new Map<string, FakeWorker>()
 
@@ -212,19 +215,19 @@
     return worker
   }
 
-  override async poll (worker: WorkerAddress, order: PollRequest): Promise<PollOutcome> {
-    return await this.of(worker).poll(order)
+  override async poll (worker: WorkerAddress, request: PollRequest): Promise<PollOutcome> {
+    return await this.find(worker).poll(request)
   }
 
-  override async start (worker: WorkerAddress, order: StartCommand): Promise<CommandOutcome> {
-    return await this.of(worker).start(order)
+  override async start (worker: WorkerAddress, command: StartCommand): Promise<CommandOutcome> {
+    return await this.find(worker).start(command)
   }
 
   override async stop (worker: WorkerAddress, task: string, run: number, term: number): Promise<CommandOutcome> {
-    return await this.of(worker).stop(task, run, term)
+    return await this.find(worker).stop(task, run, term)
   }
 
-  private of (worker: WorkerAddress): FakeWorker {
+  private find (worker: WorkerAddress): FakeWorker {
     const found = this.workers.get(worker.identity)
     if (found === undefined) throw new Error(`no fake worker ${worker.identity}`)
     return found
--- a/test/fakes/fakeRecordLog.ts
+++ b/test/fakes/fakeRecordLog.ts
@@ -1,23 +1,23 @@
 import { RecordLog, type AppendOptions, type AppendOutcome, type KeyedRecord, type ReadOutcome, type SnapshotOutcome, type StoredRecord } from '../../src/cluster/recordLog.js'
 
-/** How the log treats appends: as it should, unanswered after storing, unanswered without storing, or refused. */
+/** Fault of the log: none, appends are stored without a response, calls time out without effect, or calls are refused. */
 export type LogFault = 'none' | 'answerLost' | 'silent' | 'refused'
 
-/** Latest appends of a writer whose repeats are answered as the first time. */
-const REPEATS_REMEMBERED = 5
+/** Number of a writer's latest appends for which a repeat is acknowledged without being stored again. */
+const REMEMBERED_APPENDS = 5
 
 interface FakePartition {
   readonly records: StoredRecord[]
   readonly waiters: Set<() => void>
-  /** Offsets before this one have expired. */
+  /** First retained offset. */
   first: number
 }
 
-/** Keyed topics in memory, with fenced writers. Answers take a fixed time on the paused clock. */
+/** Keyed topics in memory, with fenced writers. Responses take a fixed time on the paused clock. */
 export class FakeRecordLog extends RecordLog {
   fault: LogFault = 'none'
   appends = 0
-  /** Time until an append that is sent now is carried out, in milliseconds. */
+  /** Delay before an append takes effect, in milliseconds. */
   appendMilliseconds = 0
   private readonly partitions = new Map<string, FakePartition>()
   private readonly writers = new Map<string, { term: number, sequence: number }>()
@@ -26,60 +26,60 @@
     super()
   }
 
-  /** The latest value of a key. */
+  /** Returns the latest value of a key. */
   latestValue (topic: string, key: string): Uint8Array | undefined {
     return [...this.partitions].filter(([name]) => name.startsWith(`${topic}/`)).flatMap(([, partition]) => partition.records).findLast(record => record.key === key)?.value
   }
 
-  /** Forgets the history before the present end; the latest record of each key stays readable as a snapshot. */
+  /** Expires all records before the current end. The latest record of each key stays readable as a snapshot. */
   compactTopic (topic: string): void {
     const partition = this.partition(topic, 0)
     partition.first = partition.records.length
   }
 
-  /** Writes as an operator or a worker does. */
+  /** Writes a record without fencing, as an operator or a worker does. */
   write (topic: string, key: string, value: Uint8Array | undefined): void {
     this.store(this.partition(topic, 0), [{ key, value }])
   }
 
   override async append (topic: string, partitionNumber: number, records: readonly KeyedRecord[], options: AppendOptions = {}): Promise<AppendOutcome> {
     this.appends += 1
-    if (this.fault === 'refused') return await this.answer({ kind: 'refused', reason: 'status 503' })
+    if (this.fault === 'refused') return await this.respond({ kind: 'refused', reason: 'status 503' })
     if (this.fault === 'silent') return await after(this.timeoutMilliseconds, { kind: 'unknown', reason: 'timed out' })
     if (this.appendMilliseconds > 0) await after(this.appendMilliseconds, undefined)
     const outcome = this.appendNow(this.partition(topic, partitionNumber), topic, records, options)
     if (this.fault === 'answerLost') return await after(this.timeoutMilliseconds, { kind: 'unknown', reason: 'timed out' })
-    return await this.answer(outcome)
+    return await this.respond(outcome)
   }
 
   override async read (topic: string, partitionNumber: number, from: number, waitMilliseconds: number): Promise<ReadOutcome> {
     if (this.fault === 'silent') return await after(this.timeoutMilliseconds + waitMilliseconds, { kind: 'unavailable', reason: 'timed out' })
-    if (this.fault === 'refused') return await this.answer({ kind: 'unavailable', reason: 'status 503' })
+    if (this.fault === 'refused') return await this.respond({ kind: 'unavailable', reason: 'status 503' })
     const partition = this.partition(topic, partitionNumber)
-    if (from < partition.first) return await this.answer({ kind: 'expired', first: partition.first })
-    if (from >= partition.records.length) await this.untilRecord(partition, waitMilliseconds)
+    if (from < partition.first) return await this.respond({ kind: 'expired', first: partition.first })
+    if (from >= partition.records.length) await this.waitForRecord(partition, waitMilliseconds)
     const records = partition.records.slice(from)
-    return await this.answer({ kind: 'records', records, next: from + records.length })
+    return await this.respond({ kind: 'records', records, next: from + records.length })
   }
 
   override async snapshot (topic: string, partitionNumber: number): Promise<SnapshotOutcome> {
     if (this.fault === 'silent') return await after(this.timeoutMilliseconds, { kind: 'unavailable', reason: 'timed out' })
-    if (this.fault === 'refused') return await this.answer({ kind: 'unavailable', reason: 'status 503' })
+    if (this.fault === 'refused') return await this.respond({ kind: 'unavailable', reason: 'status 503' })
     const partition = this.partition(topic, partitionNumber)
     const latest = new Map(partition.records.map(record => [record.key, record]))
-    return await this.answer({ kind: 'snapshot', records: [...latest.values()].filter(record => record.value !== undefined), end: partition.records.length })
+    return await this.respond({ kind: 'snapshot', records: [...latest.values()].filter(record => record.value !== undefined), end: partition.records.length })
   }
 
   private appendNow (partition: FakePartition, topic: string, records: readonly KeyedRecord[], options: AppendOptions): AppendOutcome {
     if (options.atOffset !== undefined && options.atOffset !== partition.records.length) return { kind: 'conflict', end: partition.records.length }
     if (options.writer !== undefined) {
       const key = `${topic}/${options.writer.name}`
-      const known = this.writers.get(key)
+      const latest = this.writers.get(key)
       const { term, sequence } = options.writer
-      if (known !== undefined && term < known.term) return { kind: 'fenced' }
-      if (known !== undefined && term === known.term) {
-        if (sequence <= known.sequence && sequence > known.sequence - REPEATS_REMEMBERED) return { kind: 'stored', end: partition.records.length }
-        if (sequence !== known.sequence + 1) return { kind: 'outOfSequence', expected: known.sequence + 1 }
+      if (latest !== undefined && term < latest.term) return { kind: 'fenced' }
+      if (latest !== undefined && term === latest.term) {
+        if (sequence <= latest.sequence && sequence > latest.sequence - REMEMBERED_APPENDS) return { kind: 'stored', end: partition.records.length }
+        if (sequence !== latest.sequence + 1) return { kind: 'outOfSequence', expected: latest.sequence + 1 }
       }
       this.writers.set(key, { term, sequence })
     }
@@ -103,7 +103,7 @@
     return partition
   }
 
-  private async untilRecord (partition: FakePartition, milliseconds: number): Promise<void> {
+  private async waitForRecord (partition: FakePartition, milliseconds: number): Promise<void> {
     await new Promise<void>(resolve => {
       const wake = (): void => {
         clearTimeout(timer)
@@ -115,7 +115,7 @@
     })
   }
 
-  private async answer<T> (outcome: T): Promise<T> {
+  private async respond<T> (outcome: T): Promise<T> {
     return await after(this.responseMilliseconds, outcome)
   }
 }
--- a/test/fakes/silentObserver.ts
+++ b/test/fakes/silentObserver.ts
@@ -1,6 +1,6 @@
 import type { SchedulerObserver } from '../../src/cluster/clusterScheduler.js'
 
-/** For decisions whose announcements are of no interest. */
+/** An observer that ignores all events. */
 export const SILENT_OBSERVER: SchedulerObserver = {
   onDidFinishJob () {},
   onDidEndRun () {},
