--- a/test/fakes/fakeExecutors.ts
+++ b/test/fakes/fakeExecutors.ts
@@ -4,11 +4,11 @@
 import type { Network } from './network.js'
 import type { SimulatedProcess } from './pausedClock.js'
 
-/** Header by which tests name a submission of a request; it is passed on end to end. */
+/** Header with which tests identify a submission of a request; it is forwarded end to end. */
 export const SUBMISSION_HEADER = 'test-submission'
-/** What an executor does with the next requests. */
+/** Fault of an executor for one request. */
 export type ExecutorFault = 'refuse' | 'loseAnswer' | 'cutBody' | 'late'
-/** An executor ends a request that runs for longer than this, in milliseconds. */
+/** Longest run time of a request on an executor, in milliseconds. */
 export const MAXIMUM_RUN_MILLISECONDS = 2000
 
 const IDLE_CONNECTION_MILLISECONDS = 4000
@@ -23,18 +23,18 @@
   endedAt: number | undefined
 }
 
-/** An arrival at an executor, whether it was run or not. */
+/** The arrival of a request at an executor, which may refuse it. */
 export interface RequestArrival {
   readonly from: SimulatedProcess
   readonly at: number
 }
 
-/** Body that names the submission which it answers. */
+/** Returns the response body for a submission, which contains its name. */
 export function expectedBody (submission: string): string {
   return `answer to ${submission} ${BODY_PADDING}`
 }
 
-/** An executor that runs requests on arrival and records what it ran. */
+/** An executor that runs requests on arrival and records the runs. */
 export class FakeExecutor {
   readonly runs: RequestRun[] = []
   readonly arrivals: RequestArrival[] = []
@@ -52,7 +52,7 @@
     this.maximumConnections = Math.max(this.maximumConnections, this.connections)
   }
 
-  /** Runs a request; `onEnd` follows when it has ended. */
+  /** Runs a request and calls `onEnd` when the run has ended. */
   run (network: Network, submission: string, from: SimulatedProcess, fault: ExecutorFault | undefined, onEnd: () => void): void {
     const run: RequestRun = { submission, from, startedAt: performance.now(), fault, endedAt: undefined }
     this.runs.push(run)
@@ -67,12 +67,12 @@
   }
 }
 
-/** One process's connections to the executors; an executor's address is its name. */
+/** The connections of one process to the executors. The address of an executor is its name. */
 export class FakeExecutorClient extends ExecutorClient {
   private readonly idle = new Map<FakeExecutor, Set<NodeJS.Timeout>>()
   private readonly open = new Map<FakeExecutor, number>()
 
-  constructor (private readonly executors: ReadonlyMap<string, FakeExecutor>, private readonly network: Network, private readonly self: SimulatedProcess) {
+  constructor (private readonly executors: ReadonlyMap<string, FakeExecutor>, private readonly network: Network, private readonly process: SimulatedProcess) {
     super()
     this.register({ dispose: () => this.closeAll() })
   }
@@ -87,24 +87,24 @@
     }
     return await new Promise<ExecutorResult>(resolve => {
       let settled = false
-      const settle = (result: ExecutorResult, keep: boolean): void => {
+      const settle = (result: ExecutorResult, isReusable: boolean): void => {
         if (settled) return
         settled = true
         clearTimeout(timer)
-        this.returnConnection(executor, keep)
-        this.self.deliver(() => resolve(result))
+        this.returnConnection(executor, isReusable)
+        this.process.deliver(() => resolve(result))
       }
       const fail = (reason: string, timedOut: boolean): void => settle({ kind: 'mayHaveRun', reason, timedOut }, false)
       const timer = this.network.clock.after(timeoutMilliseconds, () => fail('timed out', true))
       signal.addEventListener('abort', () => fail('aborted', false), { once: true })
       this.network.clock.after(this.network.delayMilliseconds(), () => {
-        executor.arrivals.push({ from: this.self, at: performance.now() })
+        executor.arrivals.push({ from: this.process, at: performance.now() })
         const fault = executor.faults.shift()
         if (fault === 'refuse') {
           settle({ kind: 'answer', answer: { status: 503, headers: { [NOT_RUN_HEADER]: '1' }, body: Readable.from([]) } }, true)
           return
         }
-        executor.run(this.network, submission, this.self, fault, () => {
+        executor.run(this.network, submission, this.process, fault, () => {
           this.network.clock.after(this.network.delayMilliseconds(), () => {
             if (fault === 'loseAnswer') fail('the connection broke', false)
             else if (!settled) settle({ kind: 'answer', answer: { status: 200, headers: { 'content-type': 'text/plain' }, body: this.body(expectedBody(submission), fault) } }, fault !== 'cutBody')
@@ -114,7 +114,7 @@
     })
   }
 
-  /** Closes every connection at once, as the end of the process does. */
+  /** Closes all connections at once, as when the process exits. */
   closeAll (): void {
     for (const [executor, count] of this.open) executor.connections -= count
     this.open.clear()
@@ -126,7 +126,7 @@
     const body = new Readable({ read () {} })
     const half = Math.floor(text.length / 2)
     body.push(text.slice(0, half))
-    this.network.clock.after(this.network.delayMilliseconds(), () => this.self.deliver(() => {
+    this.network.clock.after(this.network.delayMilliseconds(), () => this.process.deliver(() => {
       if (fault === 'cutBody') {
         body.destroy(new Error('other side closed'))
         return
@@ -144,7 +144,7 @@
       if ((this.open.get(executor) ?? 0) <= connections) return
       clearTimeout(timer)
       this.idle.get(executor)?.delete(timer)
-      this.closeOne(executor)
+      this.closeConnection(executor)
     }
   }
 
@@ -163,31 +163,31 @@
     return true
   }
 
-  private returnConnection (executor: FakeExecutor, keep: boolean): void {
+  private returnConnection (executor: FakeExecutor, isReusable: boolean): void {
     if ((this.open.get(executor) ?? 0) === 0) return
-    if (!keep) {
-      this.closeOne(executor)
+    if (!isReusable) {
+      this.closeConnection(executor)
       return
     }
     const idle = this.idle.get(executor) ?? new Set()
     this.idle.set(executor, idle)
     const timer = this.network.clock.after(IDLE_CONNECTION_MILLISECONDS, () => {
       idle.delete(timer)
-      this.closeOne(executor)
+      this.closeConnection(executor)
     })
     idle.add(timer)
   }
 
-  private closeOne (executor: FakeExecutor): void {
+  private closeConnection (executor: FakeExecutor): void {
     executor.connections -= 1
     const open = (this.open.get(executor) ?? 0) - 1
     this.open.set(executor, open)
     const address = [...this.executors].find(([, candidate]) => candidate === executor)?.[0]
-    if (address !== undefined) this.self.deliver(() => this.didChangeConnections.fire({ address, open }))
+    if (address !== undefined) this.process.deliver(() => this.didChangeConnections.fire({ address, open }))
   }
 }
 
-/** Entry instances of other failure domains, none of which can be reached. */
+/** A client whose peers, the entry instances of other failure domains, are all unreachable. */
 export class UnreachablePeers extends ExecutorClient {
   override async send (): Promise<ExecutorResult> {
     return { kind: 'notSent', reason: 'unreachable', unreachable: true }
--- a/test/fakes/fakeInstanceList.ts
+++ b/test/fakes/fakeInstanceList.ts
@@ -6,10 +6,10 @@
 const CALL_TIMEOUT_MILLISECONDS = 3000
 const LAG_MILLISECONDS = 500
 
-/** The platform's list, which shows each change after a lag. */
+/** The platform's list of instances, in which each change becomes visible after a lag. */
 export class FakeInstanceDirectory {
   private readonly visible = new Map<string, ListedInstance>()
-  /** When each leaving machine first showed as leaving, by name; monotonic milliseconds. */
+  /** Monotonic time in milliseconds at which each leaving machine first became visible as leaving, by name. */
   readonly leavingSince = new Map<string, number>()
 
   constructor (private readonly network: Network) {}
@@ -31,13 +31,13 @@
   }
 }
 
-/** One process's view of the list. */
+/** The client of one process for the list. */
 export class FakeInstanceList extends InstanceList {
-  constructor (private readonly directory: FakeInstanceDirectory, private readonly network: Network, private readonly self: SimulatedProcess) {
+  constructor (private readonly directory: FakeInstanceDirectory, private readonly network: Network, private readonly process: SimulatedProcess) {
     super()
   }
 
   override async fetch (): Promise<ListedInstance[]> {
-    return await this.network.call(this.self, PLATFORM, () => this.directory.snapshot(), { timeoutMilliseconds: CALL_TIMEOUT_MILLISECONDS })
+    return await this.network.call(this.process, PLATFORM, () => this.directory.snapshot(), { timeoutMilliseconds: CALL_TIMEOUT_MILLISECONDS })
   }
 }
--- a/test/fakes/fakeLinks.ts
+++ b/test/fakes/fakeLinks.ts
@@ -5,12 +5,12 @@
 import type { Network } from './network.js'
 import type { SimulatedProcess } from './pausedClock.js'
 
-/** The links among all entry instances, with their faults in percent of messages. */
+/** The network of links between all entry instances. Faults are given as percentages of the messages. */
 export class FakeLinkFabric {
   readonly hubs = new Map<string, FakeLinks>()
   dropPercent = 0
   duplicatePercent = 0
-  /** Messages are delayed by up to this much, each on its own, so that they overtake each other. */
+  /** Upper bound of the additional delay of a message. It is drawn for each message, so that messages overtake each other. */
   reorderMilliseconds = 0
 
   constructor (readonly network: Network) {}
@@ -20,15 +20,15 @@
     if (network.random.integerBelow(100) < this.dropPercent) return
     const copies = network.random.integerBelow(100) < this.duplicatePercent ? 2 : 1
     for (let copy = 0; copy < copies; copy += 1) {
-      const extra = this.reorderMilliseconds === 0 ? 0 : network.random.integerBelow(this.reorderMilliseconds)
-      network.clock.after(network.delayMilliseconds() + extra, () => {
-        if (network.isOpen(from.self.failureDomain, to.self.failureDomain) && network.isOpen(from.self.name, to.self.name)) to.receive(from.identity, message)
+      const extraMilliseconds = this.reorderMilliseconds === 0 ? 0 : network.random.integerBelow(this.reorderMilliseconds)
+      network.clock.after(network.delayMilliseconds() + extraMilliseconds, () => {
+        if (network.isOpen(from.process.failureDomain, to.process.failureDomain) && network.isOpen(from.process.name, to.process.name)) to.receive(from.identity, message)
       })
     }
   }
 }
 
-/** One process's links. */
+/** The links of one process. */
 export class FakeLinks extends LinkTransport {
   private readonly links = new Map<string, FakeLinks>()
   private readonly didReceive = this.register(new Emitter<ReceivedMessage>())
@@ -40,13 +40,13 @@
   override readonly bytesExchanged = 0
   override readonly malformedFrames = 0
 
-  constructor (private readonly fabric: FakeLinkFabric, readonly self: SimulatedProcess, readonly identity: PeerIdentity) {
+  constructor (private readonly fabric: FakeLinkFabric, readonly process: SimulatedProcess, readonly identity: PeerIdentity) {
     super()
     this.register({ dispose: () => this.closeAll() })
   }
 
   override async listen (): Promise<number> {
-    this.fabric.hubs.set(this.self.name, this)
+    this.fabric.hubs.set(this.process.name, this)
     return 1
   }
 
@@ -66,35 +66,35 @@
     if (peer === undefined || this.links.has(instance) || peer === this) return
     const { network } = this.fabric
     network.clock.after(network.delayMilliseconds(), () => {
-      const alive = this.fabric.hubs.get(instance) === peer && this.fabric.hubs.get(this.self.name) === this
-      if (!alive || this.links.has(instance) || !network.isOpen(this.self.failureDomain, peer.self.failureDomain) || !network.isOpen(this.self.name, instance)) return
+      const areListening = this.fabric.hubs.get(instance) === peer && this.fabric.hubs.get(this.process.name) === this
+      if (!areListening || this.links.has(instance) || !network.isOpen(this.process.failureDomain, peer.process.failureDomain) || !network.isOpen(this.process.name, instance)) return
       this.open(peer)
       peer.open(this)
     })
   }
 
-  /** Takes a message from a peer whose link is still open. */
+  /** Delivers a message from a peer, unless its link has been closed. */
   receive (from: PeerIdentity, message: LinkMessage): void {
-    this.self.deliver(() => {
+    this.process.deliver(() => {
       if (this.links.get(from.instance)?.identity.incarnation === from.incarnation) this.didReceive.fire({ from, message: structuredClone(message) })
     })
   }
 
-  /** Closes every link at once, as the end of the process does. */
+  /** Closes all links at once, as when the process exits. */
   closeAll (): void {
-    if (this.fabric.hubs.get(this.self.name) === this) this.fabric.hubs.delete(this.self.name)
+    if (this.fabric.hubs.get(this.process.name) === this) this.fabric.hubs.delete(this.process.name)
     for (const peer of this.links.values()) peer.close(this)
     this.links.clear()
   }
 
   private open (peer: FakeLinks): void {
-    this.links.set(peer.self.name, peer)
-    this.self.deliver(() => this.didOpen.fire(peer.identity))
+    this.links.set(peer.process.name, peer)
+    this.process.deliver(() => this.didOpen.fire(peer.identity))
   }
 
   private close (peer: FakeLinks): void {
-    if (this.links.get(peer.self.name) !== peer) return
-    this.links.delete(peer.self.name)
-    this.self.deliver(() => this.didClose.fire(peer.identity))
+    if (this.links.get(peer.process.name) !== peer) return
+    this.links.delete(peer.process.name)
+    this.process.deliver(() => this.didClose.fire(peer.identity))
   }
 }
--- a/test/fakes/fakeLog.ts
+++ b/test/fakes/fakeLog.ts
@@ -6,46 +6,46 @@
 
 const CALL_TIMEOUT_MILLISECONDS = 3000
 
-/** State of the platform's log with its faults. */
+/** The platform's log with injected faults. */
 export class FakeLog {
-  /** All records ever appended, by stream. */
+  /** All records that were ever appended, by stream. */
   readonly streams = new Map<string, RecordEnvelope[]>()
   down = false
   slowMilliseconds = 0
-  /** Appends whose answer is lost after they took effect. */
+  /** Number of next appends that are stored, but whose response is lost. */
   responsesToLose = 0
   retainedRecords = Infinity
-  private readonly waiting = new Set<() => void>()
+  private readonly waiters = new Set<() => void>()
 
   append (stream: string, records: readonly RecordEnvelope[]): AppendAnswer {
     if (this.down) throw new Error('the log is down')
-    const recordsOf = this.recordsOf(stream)
-    const firstOffset = recordsOf.length
-    recordsOf.push(...structuredClone(records) as RecordEnvelope[])
-    for (const wake of [...this.waiting]) wake()
-    return { firstOffset, nextOffset: recordsOf.length }
+    const all = this.recordsOf(stream)
+    const firstOffset = all.length
+    all.push(...structuredClone(records) as RecordEnvelope[])
+    for (const wake of [...this.waiters]) wake()
+    return { firstOffset, nextOffset: all.length }
   }
 
   read (stream: string, from: number, limit: number): ReadAnswer {
     if (this.down) throw new Error('the log is down')
-    const recordsOf = this.recordsOf(stream)
-    const retainedFrom = Math.max(0, recordsOf.length - this.retainedRecords)
+    const all = this.recordsOf(stream)
+    const retainedFrom = Math.max(0, all.length - this.retainedRecords)
     const start = Math.max(from, retainedFrom)
-    const records = recordsOf.slice(start, start + limit).map((record, index) => ({ offset: start + index, record: structuredClone(record) }))
-    return { retainedFrom, nextOffset: recordsOf.length, records }
+    const records = all.slice(start, start + limit).map((record, index) => ({ offset: start + index, record: structuredClone(record) }))
+    return { retainedFrom, nextOffset: all.length, records }
   }
 
-  /** Resolves at the next append or after a time. */
+  /** Resolves at the next append to any stream, at the timeout or when the signal aborts. */
   async waitForAppend (network: Network, milliseconds: number, signal?: AbortSignal): Promise<void> {
     await new Promise<void>(resolve => {
       const finish = (): void => {
         clearTimeout(timer)
-        this.waiting.delete(finish)
+        this.waiters.delete(finish)
         signal?.removeEventListener('abort', finish)
         resolve()
       }
       const timer = network.clock.after(milliseconds, finish)
-      this.waiting.add(finish)
+      this.waiters.add(finish)
       signal?.addEventListener('abort', finish, { once: true })
     })
   }
@@ -57,29 +57,29 @@
   }
 }
 
-/** One process's connection to the log. */
+/** The client of one process for the log. */
 export class FakePlatformLog extends PlatformLog {
-  constructor (private readonly log: FakeLog, private readonly network: Network, private readonly self: SimulatedProcess) {
+  constructor (private readonly log: FakeLog, private readonly network: Network, private readonly process: SimulatedProcess) {
     super()
   }
 
   override async append (stream: string, records: readonly RecordEnvelope[], signal?: AbortSignal): Promise<AppendAnswer> {
-    const loseAnswer = this.log.responsesToLose > 0
-    if (loseAnswer) this.log.responsesToLose -= 1
-    return await this.network.call(this.self, PLATFORM, () => this.log.append(stream, records), {
-      timeoutMilliseconds: CALL_TIMEOUT_MILLISECONDS, extraMilliseconds: this.log.slowMilliseconds, loseResponse: loseAnswer, signal
+    const loseResponse = this.log.responsesToLose > 0
+    if (loseResponse) this.log.responsesToLose -= 1
+    return await this.network.call(this.process, PLATFORM, () => this.log.append(stream, records), {
+      timeoutMilliseconds: CALL_TIMEOUT_MILLISECONDS, extraMilliseconds: this.log.slowMilliseconds, loseResponse, signal
     })
   }
 
   override async read (stream: string, from: number, limit: number, waitMilliseconds: number, signal?: AbortSignal): Promise<ReadAnswer> {
     const until = performance.now() + waitMilliseconds
-    return await this.network.call(this.self, PLATFORM, async () => {
-      let answer = this.log.read(stream, from, limit)
-      while (answer.records.length === 0 && performance.now() < until && signal?.aborted !== true) {
+    return await this.network.call(this.process, PLATFORM, async () => {
+      let response = this.log.read(stream, from, limit)
+      while (response.records.length === 0 && performance.now() < until && signal?.aborted !== true) {
         await this.log.waitForAppend(this.network, until - performance.now(), signal)
-        answer = this.log.read(stream, from, limit)
+        response = this.log.read(stream, from, limit)
       }
-      return answer
+      return response
     }, { timeoutMilliseconds: CALL_TIMEOUT_MILLISECONDS + waitMilliseconds, extraMilliseconds: this.log.slowMilliseconds, signal })
   }
 }
--- a/test/fakes/fakeSite.ts
+++ b/test/fakes/fakeSite.ts
@@ -18,20 +18,20 @@
 import { Network } from './network.js'
 import { PausedClock, SimulatedProcess } from './pausedClock.js'
 
-/** Services of the fake site: one that must not run twice, one that may, and one that is deferrable. */
+/** Services of the fake site: one that is not idempotent, one that is, and one that is idempotent and deferrable. */
 export type ServiceName = 'booking' | 'lookup' | 'sync'
 
-/** How the fake site is laid out; counts are by failure domain. */
+/** Layout of the fake site. Counts are by failure domain. */
 export interface FakeSiteOptions {
   readonly seed: number
   readonly entries?: Readonly<Record<string, number>>
   readonly executors?: Readonly<Record<string, number>>
   readonly workers?: Readonly<Record<string, number>>
-  /** Replaces connections of every instance that starts, to plant a fault. */
+  /** Wraps the connections of every instance that starts, to inject a fault. */
   readonly wrapConnections?: (connections: EntryConnections, process: SimulatedProcess) => EntryConnections
 }
 
-/** A caller's submission of a request and what became of it. Times are monotonic milliseconds. */
+/** A caller's submission of a request and its outcome. Times are monotonic, in milliseconds. */
 export interface SubmittedRequest {
   readonly submission: string
   readonly service: ServiceName
@@ -39,12 +39,12 @@
   readonly instance: StartedInstance
   readonly submittedAt: number
   readonly deadline: number
-  /** `complete` means that the whole body arrived; `broken` that the connection broke before its end. */
+  /** `complete`: the whole body arrived. `broken`: the connection broke before the end of the body. */
   outcome: { kind: 'complete', status: number, body: string } | { kind: 'broken' } | { kind: 'error', code: string, verdict: Verdict, retryAfterSeconds: number | undefined } | undefined
   endedAt: number | undefined
 }
 
-/** A submitted job and its answer. */
+/** A submitted job and the result of its submission. */
 export interface SubmittedJob {
   readonly name: string
   readonly kind: JobSubmission['kind']
@@ -62,9 +62,9 @@
   readonly entry: EntryInstance
   readonly startedAt: number
   readonly connections: EntryConnections
-  /** Highest revision seen in force in this incarnation. */
+  /** Highest configuration revision that was in force in this incarnation. */
   highestRevision: number
-  /** Monotonic time at which a planned stop began. */
+  /** Monotonic time at which a graceful shutdown started. */
   stopStartedAt: number | undefined
   stoppedAt: number | undefined
   interruptedRequests: number
@@ -75,7 +75,7 @@
 const WORKER_CAPACITY = { processorsThousandths: 4000, memoryBytes: 8_000_000, accelerators: 0 }
 const STOP_BOUND_MILLISECONDS = 30_000
 
-/** Several entry instances of the real code over fakes of everything around them, on the paused clock. */
+/** Several entry instances of the real code on fake connections, executors, workers and platform, on a paused clock. */
 export class FakeSite {
   readonly clock = new PausedClock()
   readonly network: Network
@@ -84,17 +84,17 @@
   readonly fabric: FakeLinkFabric
   readonly executors = new Map<string, FakeExecutor>()
   readonly workers = new Map<string, FakeWorker>()
-  /** Latest start of each instance, by name. */
+  /** The latest start of each instance, by name. */
   readonly instances = new Map<string, StartedInstance>()
   readonly startedInstances: StartedInstance[] = []
   readonly requests: SubmittedRequest[] = []
   readonly jobs: SubmittedJob[] = []
-  /** Problems noticed while time advances, by the name of the check. */
+  /** Problems that were detected while the clock advances, by the name of the check. */
   readonly detectedProblems = new Map<string, string>()
-  /** Log lines of every instance, for a failing trace. */
+  /** Log lines of all instances, shown with a failing trace. */
   readonly logLines: string[] = []
   readonly failureDomains: readonly string[]
-  private publishes = 0
+  private publishCount = 0
   private allowedPercent = 100
 
   constructor (private readonly options: FakeSiteOptions, private readonly onStep: (site: FakeSite) => void = () => {}) {
@@ -120,34 +120,34 @@
     }
   }
 
-  /** Publishes the first text and waits until every instance holds slots. */
+  /** Publishes the first configuration and waits until every instance can serve. */
   async start (): Promise<void> {
     this.publish(0)
     for (let waited = 0; waited < 10_000 && !this.runningInstances().every(({ entry }) => entry.canServe); waited += 100) await this.advance(100)
   }
 
-  /** Instances that run, including paused and stopping ones. */
+  /** Returns the instances whose process runs, including paused and stopping ones. */
   runningInstances (): StartedInstance[] {
     return [...this.instances.values()].filter(({ process, stoppedAt }) => !process.isCrashed && stoppedAt === undefined)
   }
 
-  /** Instance by a number that need not be in range. */
+  /** Returns an instance by index. An index out of range wraps around. */
   instanceAt (index: number): StartedInstance {
     const all = [...this.instances.values()]
     return all[index % all.length] as StartedInstance
   }
 
-  /** Starts an instance, or starts it again after a crash or stop. */
+  /** Starts an instance, or restarts it after a crash or stop. */
   startInstance (name: string, failureDomain: string): void {
-    const start = this.startedInstances.filter(instance => instance.name === name).length
-    const incarnation = `${name}.${start}`
+    const previousStarts = this.startedInstances.filter(instance => instance.name === name).length
+    const incarnation = `${name}.${previousStarts}`
     const process = new SimulatedProcess(name, failureDomain)
     const settings = entrySettingsSchema.parse({
       instance: name, failureDomain, region: 'be-vl', callers: { port: 0 }, links: { port: 0 }, platformAddress: 'http://platform.invalid', linkKeys: ['fake-site-link-key'], operatorTokens: ['fake-site-operator-token'], logLevel: 'warn', stopBoundMilliseconds: STOP_BOUND_MILLISECONDS
     })
     process.run(() => {
       const links = new FakeLinks(this.fabric, process, { instance: name, incarnation, failureDomain })
-      const plain: EntryConnections = {
+      const baseConnections: EntryConnections = {
         log: new FakePlatformLog(this.log, this.network, process),
         instanceList: new FakeInstanceList(this.directory, this.network, process),
         workers: new FakeWorkerClient(this.workers, this.network, process),
@@ -156,10 +156,10 @@
         links,
         agent: new Agent()
       }
-      const connections = this.options.wrapConnections?.(plain, process) ?? plain
+      const connections = this.options.wrapConnections?.(baseConnections, process) ?? baseConnections
       const context = createEntryContext(settings, line => { this.logLines.push(`${Math.round(performance.now())} ${line}`) }, incarnation, this.options.seed + this.startedInstances.length)
       const entry = assembleEntryInstance(context, connections)
-      // Callers reach the parts directly; no socket is opened.
+      // Requests are passed directly to the components; no socket is opened.
       entry.components.server.listen = async () => 1
       const instance: StartedInstance = { name, failureDomain, incarnation, process, entry, connections, startedAt: performance.now(), highestRevision: 0, stopStartedAt: undefined, stoppedAt: undefined, interruptedRequests: 0 }
       this.startedInstances.push(instance)
@@ -169,7 +169,7 @@
     this.directory.set({ kind: 'entry', name, failureDomain, address: 'ws://link.invalid', callerAddress: 'http://caller.invalid', state: 'live' })
   }
 
-  /** Ends an instance at once: its connections close and nothing of it acts afterwards. */
+  /** Crashes an instance: its connections close and its timers and deliveries are dropped. */
   crash (instance: StartedInstance): void {
     if (instance.stoppedAt !== undefined || instance.process.isCrashed) return
     instance.process.crash()
@@ -182,7 +182,7 @@
     this.startInstance(instance.name, instance.failureDomain)
   }
 
-  /** Stops an instance gracefully; the stop goes on while time advances. */
+  /** Starts the graceful shutdown of an instance, which continues while the clock advances. */
   stop (instance: StartedInstance): void {
     if (instance.stopStartedAt !== undefined || instance.process.isCrashed || instance.process.isPaused) return
     instance.stopStartedAt = performance.now()
@@ -194,7 +194,7 @@
     })
   }
 
-  /** Submits a request at an instance. Returns undefined when the instance takes no connections. */
+  /** Submits a request to an instance. Returns undefined when the instance accepts no connections. */
   request (instance: StartedInstance, service: ServiceName, details: { key?: string, deadlineMilliseconds?: number } = {}): SubmittedRequest | undefined {
     if (instance.process.isCrashed || instance.stoppedAt !== undefined) return undefined
     const submission = `request-${this.requests.length}`
@@ -217,35 +217,35 @@
   }
 
   cancelJob (instance: StartedInstance, job: SubmittedJob): void {
-    const { result: answer } = job
-    if (answer?.kind !== 'accepted' || instance.process.isCrashed || instance.stoppedAt !== undefined) return
+    const { result } = job
+    if (result?.kind !== 'accepted' || instance.process.isCrashed || instance.stoppedAt !== undefined) return
     instance.process.deliver(async () => {
-      const cancelled = await instance.entry.components.jobs.cancel(answer.job)
+      const cancelled = await instance.entry.components.jobs.cancel(result.job)
       if (cancelled.kind === 'accepted') job.cancelled = true
     })
   }
 
-  /** Appends a publish record as the operators' tool does. Returns the text, or undefined while the log is down. */
+  /** Appends a configuration record as the operators' tool does. Returns the configuration text, or undefined while the log is down. */
   publish (baseRevision: number, allowedPercent: number = this.allowedPercent): string | undefined {
     if (this.log.down) return undefined
-    this.publishes += 1
+    this.publishCount += 1
     this.allowedPercent = allowedPercent
-    const text = this.siteText(this.publishes, allowedPercent)
-    const body = { type: 'configurationPublished', baseRevision, text, publisher: `publisher-${this.publishes}` }
-    this.log.append(CONFIGURATION_STREAM, [recordSchema.parse({ identity: `publish-${this.publishes}`, schemaVersion: 1, writer: 'operator', logicalTime: 0, body })])
+    const text = this.createConfiguration(this.publishCount, allowedPercent)
+    const body = { type: 'configurationPublished', baseRevision, text, publisher: `publisher-${this.publishCount}` }
+    this.log.append(CONFIGURATION_STREAM, [recordSchema.parse({ identity: `publish-${this.publishCount}`, schemaVersion: 1, writer: 'operator', logicalTime: 0, body })])
     return text
   }
 
-  /** Lists an executor or worker as live or leaving. */
+  /** Sets the state of an executor or worker in the platform's list. */
   listMachine (name: string, state: 'live' | 'leaving'): void {
     const executor = this.executors.get(name)
     const failureDomain = executor?.failureDomain ?? this.workers.get(name)?.failureDomain ?? ''
-    const place = { name, failureDomain, address: name, state }
-    const listed: ListedInstance = executor === undefined ? { kind: 'worker', ...place, pool: 'general', rack: 'rack-1' } : { kind: 'executor', ...place, pool: 'swatch' }
+    const common = { name, failureDomain, address: name, state }
+    const listed: ListedInstance = executor === undefined ? { kind: 'worker', ...common, pool: 'general', rack: 'rack-1' } : { kind: 'executor', ...common, pool: 'swatch' }
     this.directory.set(listed)
   }
 
-  /** Ends every fault: outages, partitions, pauses, leaving machines; starts what crashed or stopped. */
+  /** Removes all faults: outages, partitions, pauses and leaving machines. Restarts crashed and stopped instances. */
   heal (): void {
     this.network.heal()
     Object.assign(this.log, { down: false, slowMilliseconds: 0, responsesToLose: 0 })
@@ -263,7 +263,7 @@
     await this.clock.advance(milliseconds, coarse ? COARSE_STEP_MILLISECONDS : STEP_MILLISECONDS, () => this.onStep(this))
   }
 
-  /** Ends everything. Returns the number of timers that are left although every instance was disposed. */
+  /** Disposes all instances and workers. Returns the number of timers that remain although every instance was disposed. */
   async dispose (): Promise<number> {
     for (const { process, entry } of this.startedInstances) {
       process.resume()
@@ -271,10 +271,10 @@
     }
     for (const worker of this.workers.values()) worker.dispose()
     await this.clock.settle()
-    const left = this.startedInstances.reduce((sum, { process }) => sum + process.timers.size, 0)
-    // Calls under way in the surroundings end within their timeouts.
+    const processTimers = this.startedInstances.reduce((sum, { process }) => sum + process.timers.size, 0)
+    // Pending calls in the fakes end within their timeouts.
     await this.clock.advance(20_000, 1000)
-    const remaining = left + this.clock.timerCount
+    const remaining = processTimers + this.clock.timerCount
     this.clock.uninstall()
     return remaining
   }
@@ -288,20 +288,20 @@
     const headers: Array<[string, string]> = [[SUBMISSION_HEADER, submission]]
     if (key !== undefined) headers.push([CALLER_HEADERS.idempotencyKey, key])
     const urgency: Urgency = service === 'booking' ? 'urgent' : service === 'lookup' ? 'normal' : 'deferrable'
-    const answer = await instance.entry.components.requestDispatcher.serve({
+    const served = await instance.entry.components.requestDispatcher.serve({
       identity: submission, service, method: 'POST', path: `/${submission}`, headers, body: RequestBody.of(Buffer.from(submission)), urgency, deadline, signal: new AbortController().signal
     })
-    if (answer.kind === 'error') {
-      finish({ kind: 'error', code: answer.error.code, verdict: answer.error.verdict, retryAfterSeconds: answer.error.retryAfterSeconds })
+    if (served.kind === 'error') {
+      finish({ kind: 'error', code: served.error.code, verdict: served.error.verdict, retryAfterSeconds: served.error.retryAfterSeconds })
       return
     }
     const chunks: Buffer[] = []
-    answer.body.on('data', (chunk: Buffer) => chunks.push(Buffer.from(chunk)))
-    answer.body.once('error', () => finish({ kind: 'broken' }))
-    answer.body.once('end', () => finish({ kind: 'complete', status: answer.status, body: Buffer.concat(chunks).toString() }))
+    served.body.on('data', (chunk: Buffer) => chunks.push(Buffer.from(chunk)))
+    served.body.once('error', () => finish({ kind: 'broken' }))
+    served.body.once('end', () => finish({ kind: 'complete', status: served.status, body: Buffer.concat(chunks).toString() }))
   }
 
-  private siteText (number: number, allowedCapacityPercent: number): string {
+  private createConfiguration (number: number, allowedCapacityPercent: number): string {
     const counts = (machines: Iterable<{ failureDomain: string }>): Record<string, number> => {
       const byDomain: Record<string, number> = {}
       for (const { failureDomain } of machines) byDomain[failureDomain] = (byDomain[failureDomain] ?? 0) + 1
@@ -316,7 +316,7 @@
       workerPools: { general: { ...WORKER_CAPACITY, workersPerRack: 8, workers: counts(this.workers.values()) } },
       teams: { one: { quota: { processorsThousandths: 4000, memoryBytes: 8_000_000, accelerators: 0 } } }
     })
-    const checked = checkSiteText('fake site text', text)
+    const checked = checkSiteText('fake site configuration', text)
     if (checked.kind === 'invalid') throw new Error(JSON.stringify(checked.findings))
     return text
   }
--- a/test/fakes/fakeWorkers.ts
+++ b/test/fakes/fakeWorkers.ts
@@ -6,7 +6,7 @@
 
 const CALL_TIMEOUT_MILLISECONDS = 2000
 
-/** Time in which an attempt ran; `endedAt` is undefined while it runs. */
+/** The interval in which an attempt ran. `endedAt` is undefined while it runs. */
 export interface AttemptInterval {
   readonly task: string
   readonly attempt: Attempt
@@ -17,7 +17,7 @@
   state: TaskState
 }
 
-interface KnownTask {
+interface FakeTask {
   readonly command: StartTask
   readonly interval: AttemptInterval
   checkpointMilliseconds: number
@@ -25,14 +25,14 @@
   endTimer: NodeJS.Timeout | undefined
 }
 
-/** A worker: it starts what it is given, whether it fits or not, and ends tasks whose lease lapses. */
+/** A worker that executes every start command, whether the task fits or not, and ends tasks whose lease lapses. */
 export class FakeWorker {
   readonly intervals: AttemptInterval[] = []
   silent = false
   failsEverything = false
-  /** Answers to commands that are lost after the command took effect. */
+  /** Number of next commands that take effect, but whose response is lost. */
   responsesToLose = 0
-  private readonly tasks = new Map<string, KnownTask>()
+  private readonly tasks = new Map<string, FakeTask>()
   private term = 0
 
   constructor (readonly name: string, readonly failureDomain: string, readonly capacity: Resources, private readonly checksTerms: boolean, private readonly network: Network) {}
@@ -41,7 +41,7 @@
     return this.intervals.filter(interval => interval.endedAt === undefined)
   }
 
-  /** Resources of the attempts that run now. */
+  /** Resources of the running attempts. */
   get used (): Resources {
     return this.running.reduce((sum, interval) => addResources(sum, interval.resources), NO_RESOURCES)
   }
@@ -49,11 +49,11 @@
   start (from: SimulatedProcess, task: string, command: StartTask): CommandOutcome {
     if (!this.acceptsTerm(command.term)) return { kind: 'refused', reason: 'stale term' }
     const known = this.tasks.get(task)
-    if (known !== undefined && compare(command.attempt, known.command.attempt) < 0) return { kind: 'refused', reason: 'stale attempt' }
-    if (known !== undefined && compare(command.attempt, known.command.attempt) === 0) return { kind: 'done' }
+    if (known !== undefined && compareAttempts(command.attempt, known.command.attempt) < 0) return { kind: 'refused', reason: 'stale attempt' }
+    if (known !== undefined && compareAttempts(command.attempt, known.command.attempt) === 0) return { kind: 'done' }
     if (known !== undefined) this.end(known, 'stopped')
     const interval: AttemptInterval = { task, attempt: command.attempt, resources: command.resources, startedBy: from, startedAt: performance.now(), endedAt: undefined, state: 'running' }
-    const started: KnownTask = { command, interval, checkpointMilliseconds: command.resumeFromMilliseconds, leaseTimer: undefined, endTimer: undefined }
+    const started: FakeTask = { command, interval, checkpointMilliseconds: command.resumeFromMilliseconds, leaseTimer: undefined, endTimer: undefined }
     this.intervals.push(interval)
     this.tasks.set(task, started)
     this.startLease(started, command.leaseMilliseconds)
@@ -64,7 +64,7 @@
 
   act (task: string, action: TaskActionName, body: TaskAction): CommandOutcome {
     const known = this.tasks.get(task)
-    if (!this.acceptsTerm(body.term) || known === undefined || compare(known.command.attempt, body.attempt) !== 0) return { kind: 'refused', reason: 'unknown attempt' }
+    if (!this.acceptsTerm(body.term) || known === undefined || compareAttempts(known.command.attempt, body.attempt) !== 0) return { kind: 'refused', reason: 'unknown attempt' }
     if (action === 'stop') this.end(known, 'stopped')
     if (action === 'checkpoint' && known.command.checkpointable && known.interval.state === 'running') {
       known.checkpointMilliseconds = known.command.resumeFromMilliseconds + performance.now() - known.interval.startedAt
@@ -77,11 +77,11 @@
     if (!this.acceptsTerm(body.term)) throw new Error('stale term')
     for (const { task, attempt } of body.tasks) {
       const known = this.tasks.get(task)
-      if (known?.interval.state === 'running' && compare(known.command.attempt, attempt) === 0) this.startLease(known, body.leaseMilliseconds)
+      if (known?.interval.state === 'running' && compareAttempts(known.command.attempt, attempt) === 0) this.startLease(known, body.leaseMilliseconds)
     }
     for (const { task, attempt } of body.acknowledged) {
       const known = this.tasks.get(task)
-      if (known !== undefined && known.interval.state !== 'running' && compare(known.command.attempt, attempt) === 0) this.tasks.delete(task)
+      if (known !== undefined && known.interval.state !== 'running' && compareAttempts(known.command.attempt, attempt) === 0) this.tasks.delete(task)
     }
     const tasks = [...this.tasks].map(([task, { command, interval, checkpointMilliseconds }]): ReportedTask => ({
       task, attempt: command.attempt, job: command.job, taskIndex: command.taskIndex, state: interval.state, resources: command.resources, usage: interval.state === 'running' ? command.resources : NO_RESOURCES, checkpointMilliseconds
@@ -99,12 +99,12 @@
     return true
   }
 
-  private startLease (known: KnownTask, milliseconds: number): void {
+  private startLease (known: FakeTask, milliseconds: number): void {
     clearTimeout(known.leaseTimer)
     known.leaseTimer = this.network.clock.after(milliseconds, () => this.end(known, 'leaseLapsed'))
   }
 
-  private end (known: KnownTask, state: TaskState): void {
+  private end (known: FakeTask, state: TaskState): void {
     clearTimeout(known.leaseTimer)
     clearTimeout(known.endTimer)
     if (known.interval.state !== 'running') return
@@ -113,14 +113,14 @@
   }
 }
 
-/** One process's connections to the workers; a worker's address is its name. */
+/** The connections of one process to the workers. The address of a worker is its name. */
 export class FakeWorkerClient extends WorkerClient {
-  constructor (private readonly workers: ReadonlyMap<string, FakeWorker>, private readonly network: Network, private readonly self: SimulatedProcess) {
+  constructor (private readonly workers: ReadonlyMap<string, FakeWorker>, private readonly network: Network, private readonly process: SimulatedProcess) {
     super()
   }
 
   override async start (address: string, task: string, body: StartTask): Promise<CommandOutcome> {
-    return await this.command(address, worker => worker.start(this.self, task, body))
+    return await this.command(address, worker => worker.start(this.process, task, body))
   }
 
   override async act (address: string, task: string, action: TaskActionName, body: TaskAction): Promise<CommandOutcome> {
@@ -134,23 +134,23 @@
   private async command (address: string, work: (worker: FakeWorker) => CommandOutcome): Promise<CommandOutcome> {
     try {
       const worker = this.workers.get(address)
-      const loseAnswer = worker !== undefined && worker.responsesToLose > 0
-      if (loseAnswer) worker.responsesToLose -= 1
-      return await this.call(address, work, loseAnswer)
+      const loseResponse = worker !== undefined && worker.responsesToLose > 0
+      if (loseResponse) worker.responsesToLose -= 1
+      return await this.call(address, work, loseResponse)
     } catch (error) {
       return { kind: 'unknown', reason: String(error) }
     }
   }
 
-  private async call<T> (address: string, work: (worker: FakeWorker) => T, loseAnswer = false): Promise<T> {
+  private async call<T> (address: string, work: (worker: FakeWorker) => T, loseResponse = false): Promise<T> {
     const worker = this.workers.get(address) as FakeWorker
-    return await this.network.call(this.self, worker.failureDomain, async () => {
+    return await this.network.call(this.process, worker.failureDomain, async () => {
       if (worker.silent) return await new Promise<T>(() => {})
       return work(worker)
-    }, { timeoutMilliseconds: CALL_TIMEOUT_MILLISECONDS, loseResponse: loseAnswer })
+    }, { timeoutMilliseconds: CALL_TIMEOUT_MILLISECONDS, loseResponse })
   }
 }
 
-function compare (left: Attempt, right: Attempt): number {
+function compareAttempts (left: Attempt, right: Attempt): number {
   return left.term - right.term || left.sequence - right.sequence
 }
--- a/test/fakes/network.ts
+++ b/test/fakes/network.ts
@@ -1,10 +1,10 @@
 import { Random } from '../../src/base/random.js'
 import type { PausedClock, SimulatedProcess } from './pausedClock.js'
 
-/** Name of the platform as an end of a connection. */
+/** Name of the platform as an endpoint. */
 export const PLATFORM = 'platform'
 
-/** Faults of a call that the receiver decides. */
+/** Timeout of a call, and the faults that the receiver injects. */
 export interface CallOptions {
   readonly timeoutMilliseconds: number
   readonly loseResponse?: boolean
@@ -12,9 +12,10 @@
   readonly signal?: AbortSignal
 }
 
-/** Connections between failure domains and the platform: delay, partitions and lost answers. */
+/** Connections between failure domains, processes and the platform, with delays, partitions and lost responses. */
 export class Network {
   readonly random: Random
+  /** Time at which each partition ended, by its pair of endpoints; Infinity while it lasts. */
   private readonly cuts = new Map<string, number>()
 
   constructor (readonly clock: PausedClock, seed: number) {
@@ -33,22 +34,22 @@
     return this.cuts.get(pair(left, right)) !== Infinity
   }
 
-  /** Monotonic time from which the two ends have been connected without a break; Infinity while cut. */
+  /** Returns the monotonic time since which the two endpoints have been connected without interruption; Infinity during a partition. */
   openSince (left: string, right: string): number {
     return this.cuts.get(pair(left, right)) ?? -Infinity
   }
 
-  /** Whether a process reaches a far end; it may be cut off alone or with its failure domain. */
+  /** Returns whether a process can reach an endpoint. The process may be partitioned alone or with its failure domain. */
   reaches (from: SimulatedProcess, to: string): boolean {
     return this.isOpen(from.failureDomain, to) && this.isOpen(from.name, to)
   }
 
-  /** One-way delay in milliseconds. */
+  /** Draws a one-way delay in milliseconds. */
   delayMilliseconds (): number {
     return 1 + this.random.integerBelow(4)
   }
 
-  /** Calls a far end. Rejects at the timeout when the call or its answer is lost; the work may then have been done. */
+  /** Calls an endpoint. Rejects at the timeout when the call or its response is lost; the work may have been done in that case. */
   async call<T> (from: SimulatedProcess, to: string, work: () => T | Promise<T>, options: CallOptions): Promise<T> {
     return await new Promise<T>((resolve, reject) => {
       const settle = (finish: () => void): void => {
@@ -59,14 +60,14 @@
       const timer = this.clock.after(options.timeoutMilliseconds, () => settle(() => reject(new Error('timed out'))))
       const abort = (): void => settle(() => reject(new Error('aborted')))
       options.signal?.addEventListener('abort', abort, { once: true })
-      const answer = (finish: () => void): void => {
+      const respond = (finish: () => void): void => {
         this.clock.after(this.delayMilliseconds(), () => {
           if (options.loseResponse !== true && this.reaches(from, to)) settle(finish)
         })
       }
       this.clock.after(this.delayMilliseconds() + (options.extraMilliseconds ?? 0), () => {
         if (!this.reaches(from, to)) return
-        Promise.resolve().then(work).then(value => answer(() => resolve(value)), error => answer(() => reject(error)))
+        Promise.resolve().then(work).then(value => respond(() => resolve(value)), error => respond(() => reject(error)))
       })
     })
   }
--- a/test/fakes/pausedClock.ts
+++ b/test/fakes/pausedClock.ts
@@ -1,19 +1,19 @@
 import { AsyncLocalStorage } from 'node:async_hooks'
 import FakeTimers from '@sinonjs/fake-timers'
 
-type TimerFunction = (callback: (...given: unknown[]) => void, milliseconds?: number, ...given: unknown[]) => object
+type TimerFunction = (callback: (...parameters: unknown[]) => void, milliseconds?: number, ...parameters: unknown[]) => object
 type TimerHandle = object
 
 const storage = new AsyncLocalStorage<SimulatedProcess | undefined>()
-/** Captured before the timers are replaced. */
+/** The runtime's function, captured before the timers are replaced. */
 const runtimeSetImmediate = setImmediate
 
-/** One process on the shared clock. While paused its timers and deliveries are withheld; after a crash they are dropped. */
+/** One process on the shared clock. Its timers and deliveries are deferred while it is paused, and dropped after a crash. */
 export class SimulatedProcess {
   private state: 'running' | 'paused' | 'crashed' = 'running'
   private readonly deferred: Array<() => void> = []
   readonly timers = new Set<TimerHandle>()
-  /** Monotonic time until which the process was last paused. */
+  /** Monotonic time at which the process last resumed. */
   resumedAt = -Infinity
 
   constructor (readonly name: string, readonly failureDomain: string) {}
@@ -26,12 +26,12 @@
     return this.state === 'paused'
   }
 
-  /** Runs work of the process. Timers that it sets belong to the process. */
+  /** Runs work inside the process. Timers that the work sets belong to the process. */
   run<T> (work: () => T): T {
     return storage.run(this, work)
   }
 
-  /** Runs work that comes from outside, now or after the pause. */
+  /** Runs work from outside the process, immediately or once a pause ends. */
   deliver (work: () => void): void {
     if (this.state === 'crashed') return
     if (this.state === 'paused') this.deferred.push(work)
@@ -57,7 +57,7 @@
   }
 }
 
-/** The runtime's clock, paused. Timers set by a simulated process pass through its pauses and end with its crash. */
+/** Replaces the runtime's clock by one that advances only on request. Timers of a simulated process are deferred by its pauses and dropped by its crash. */
 export class PausedClock {
   private readonly clock: ReturnType<typeof FakeTimers.install>
   private readonly cleared = new WeakSet<TimerHandle>()
@@ -80,17 +80,17 @@
     })
   }
 
-  /** Timers that are set and have not fired. */
+  /** Number of pending timers. */
   get timerCount (): number {
     return this.clock.countTimers()
   }
 
-  /** Runs work of the surroundings after a delay, outside every simulated process. */
+  /** Runs work outside every simulated process after a delay. */
   after (milliseconds: number, work: () => void): NodeJS.Timeout {
     return storage.run(undefined, () => setTimeout(work, milliseconds))
   }
 
-  /** Advances in steps; promises settle after each. `onStep` runs after each step. */
+  /** Advances the clock in steps. After each step, pending promises settle and `onStep` runs. */
   async advance (milliseconds: number, stepMilliseconds: number, onStep: () => void = () => {}): Promise<void> {
     for (let left = milliseconds; left > 0; left -= stepMilliseconds) {
       this.clock.tick(Math.min(left, stepMilliseconds))
@@ -99,7 +99,7 @@
     }
   }
 
-  /** Lets pending promises and stream events run without advancing the clock. */
+  /** Processes pending promises and stream events without advancing the clock. */
   async settle (): Promise<void> {
     await new Promise(resolve => runtimeSetImmediate(resolve))
     await new Promise(resolve => runtimeSetImmediate(resolve))
@@ -110,9 +110,9 @@
   }
 
   private withProcess (create: TimerFunction, repeats: boolean): TimerFunction {
-    return (callback, milliseconds, ...given) => {
+    return (callback, milliseconds, ...parameters) => {
       const owner = storage.getStore()
-      if (owner === undefined) return create(callback, milliseconds, ...given)
+      if (owner === undefined) return create(callback, milliseconds, ...parameters)
       let deferred = false
       const handle = create(() => {
         if (!repeats) owner.timers.delete(handle)
@@ -120,7 +120,7 @@
         deferred = owner.isPaused
         owner.deliver(() => {
           deferred = false
-          if (!this.cleared.has(handle)) callback(...given)
+          if (!this.cleared.has(handle)) callback(...parameters)
         })
       }, milliseconds)
       this.owners.set(handle, owner)
--- a/test/fakes/persistentCallers.ts
+++ b/test/fakes/persistentCallers.ts
@@ -1,93 +1,93 @@
 import { Agent, request as sendRequest, type IncomingMessage } from 'node:http'
 import { delay } from '../../src/base/delay.js'
 
-/** Pause of a caller that could not connect, in milliseconds. */
+/** Delay before a caller whose connection was refused tries again, in milliseconds. */
 const RECONNECT_PAUSE_MILLISECONDS = 20
 
-/** What callers have seen. */
+/** Outcomes of the requests of all callers. */
 export interface CallerCounts {
-  /** Whole answers by status. */
+  /** Number of complete responses, by status. */
   readonly answers: Record<string, number>
-  /** Answers 503 that do not say when to come back. */
+  /** Number of responses with status 503 and no `retry-after` header. */
   refusalsWithoutRetryAfter: number
-  /** Requests that went out on a connection that had carried another one, and got no whole answer. */
+  /** Number of requests without a complete response that were sent on a connection that had already carried another request. */
   brokenOnReusedConnection: number
-  /** Requests that went out as the first one of their connection, and got no whole answer. */
+  /** Number of requests without a complete response that were the first on their connection. */
   brokenOnNewConnection: number
-  /** Attempts to connect that were refused, so that nothing was sent. */
+  /** Number of refused connections, on which nothing was sent. */
   refusedConnections: number
-  /** Error codes of broken requests, with their number. */
+  /** Number of broken requests, by error message. */
   readonly errors: Record<string, number>
 }
 
-/** Callers that send their next request as soon as the last one has ended, each on one connection that it keeps. */
+/** Callers that each send requests back to back on one persistent connection. */
 export class PersistentCallers {
   readonly counts: CallerCounts = { answers: {}, refusalsWithoutRetryAfter: 0, brokenOnReusedConnection: 0, brokenOnNewConnection: 0, refusedConnections: 0, errors: {} }
   private isStopped = false
   private readonly running: Array<Promise<void>> = []
 
-  /** With `keepsConnections` false, each request goes out on a connection of its own. */
-  constructor (private readonly port: number, private readonly path: string, private readonly keepsConnections = true) {}
+  /** If `reusesConnections` is false, each request opens a new connection. */
+  constructor (private readonly port: number, private readonly path: string, private readonly reusesConnections = true) {}
 
   start (count: number): void {
     for (let index = 0; index < count; index += 1) this.running.push(this.run())
   }
 
-  /** Lets each caller end its request; resolves once all have. */
+  /** Stops sending and resolves once all pending requests have ended. */
   async stop (): Promise<void> {
     this.isStopped = true
     await Promise.all(this.running)
   }
 
   private async run (): Promise<void> {
-    const agent = new Agent({ keepAlive: this.keepsConnections, maxSockets: 1 })
+    const agent = new Agent({ keepAlive: this.reusesConnections, maxSockets: 1 })
     while (!this.isStopped) {
       if (!await this.exchange(agent)) await delay(RECONNECT_PAUSE_MILLISECONDS)
     }
     agent.destroy()
   }
 
-  /** One request; resolves with whether a connection stood. */
+  /** Sends one request. Resolves to whether a connection could be opened. */
   private async exchange (agent: Agent): Promise<boolean> {
     return await new Promise(resolve => {
       const body = 'linen, 3 swatches'
       const request = sendRequest({ host: '127.0.0.1', port: this.port, path: this.path, method: 'POST', agent, headers: { 'content-length': body.length } })
-      let answer: IncomingMessage | undefined
+      let received: IncomingMessage | undefined
       request.on('response', response => {
-        answer = response
+        received = response
         response.on('error', () => {})
         response.resume()
       })
-      request.on('error', (error: NodeJS.ErrnoException) => { this.noteError(error, request.reusedSocket) })
+      request.on('error', (error: NodeJS.ErrnoException) => { this.recordError(error, request.reusedSocket) })
       request.on('close', () => {
-        if (answer !== undefined) this.noteAnswer(answer, request.reusedSocket)
-        resolve(this.isConnected(request.errored as NodeJS.ErrnoException | null))
+        if (received !== undefined) this.recordResponse(received, request.reusedSocket)
+        resolve(this.wasConnected(request.errored as NodeJS.ErrnoException | null))
       })
       request.end(body)
     })
   }
 
-  private isConnected (error: NodeJS.ErrnoException | null): boolean {
+  private wasConnected (error: NodeJS.ErrnoException | null): boolean {
     return error?.code !== 'ECONNREFUSED'
   }
 
-  private noteAnswer (answer: IncomingMessage, reused: boolean): void {
-    if (!answer.complete) {
-      this.noteBroken('incomplete answer', reused)
+  private recordResponse (response: IncomingMessage, isReused: boolean): void {
+    if (!response.complete) {
+      this.recordBroken('incomplete response', isReused)
       return
     }
-    const status = String(answer.statusCode)
+    const status = String(response.statusCode)
     this.counts.answers[status] = (this.counts.answers[status] ?? 0) + 1
-    if (answer.statusCode === 503 && answer.headers['retry-after'] === undefined) this.counts.refusalsWithoutRetryAfter += 1
+    if (response.statusCode === 503 && response.headers['retry-after'] === undefined) this.counts.refusalsWithoutRetryAfter += 1
   }
 
-  private noteError (error: NodeJS.ErrnoException, reused: boolean): void {
+  private recordError (error: NodeJS.ErrnoException, isReused: boolean): void {
     if (error.code === 'ECONNREFUSED') this.counts.refusedConnections += 1
-    else this.noteBroken(error.message, reused)
+    else this.recordBroken(error.message, isReused)
   }
 
-  private noteBroken (reason: string, reused: boolean): void {
-    if (reused) this.counts.brokenOnReusedConnection += 1
+  private recordBroken (reason: string, isReused: boolean): void {
+    if (isReused) this.counts.brokenOnReusedConnection += 1
     else this.counts.brokenOnNewConnection += 1
     this.counts.errors[reason] = (this.counts.errors[reason] ?? 0) + 1
   }
--- a/test/fakes/rawCaller.ts
+++ b/test/fakes/rawCaller.ts
@@ -1,10 +1,10 @@
 import { connect, type Socket } from 'node:net'
 
-/** A caller that writes bytes to a connection and keeps what comes back. */
+/** A caller that writes raw bytes to a connection and records the received bytes. */
 export class RawCaller {
-  /** What has come back. */
+  /** All received bytes, as Latin-1 text. */
   received = ''
-  /** How the connection ended: by an orderly end of the peer, or by a reset. */
+  /** How the connection ended: closed by the peer in order, or reset. */
   ended: 'no' | 'orderly' | 'reset' = 'no'
   readonly socket: Socket
 
@@ -19,18 +19,18 @@
     this.socket.write(bytes)
   }
 
-  /** Statuses of the answers that have come back. */
+  /** Statuses of the received responses. */
   get statuses (): number[] {
     return [...this.received.matchAll(/HTTP\/1\.1 (\d{3}) /g)].map(([, status]) => Number(status))
   }
 
-  /** Answers that announce the end of the connection. */
+  /** Number of received responses with the header `connection: close`. */
   get closeHeaderCount (): number {
     return this.received.split(/\r\nconnection: close\r\n/i).length - 1
   }
 }
 
-/** Waits for a condition without the clock, so that it may be paused. */
+/** Waits for a condition without using timers, so that it also works on a paused clock. */
 export async function untilTrue (condition: () => boolean): Promise<void> {
   while (!condition()) await new Promise(resolve => setImmediate(resolve))
 }
