--- a/test/soak/faults.ts
+++ b/test/soak/faults.ts
@@ -4,23 +4,23 @@
 import type { InstanceProcess } from './instanceProcess.js'
 import { APPEND_MILLISECONDS, type SoakSite } from './soakSite.js'
 
-/** Mean time between two faults, in milliseconds; they last longer than that, so that they overlap. */
-const GAP_MILLISECONDS = 700
-const MINIMUM_MILLISECONDS = 200
-const MEAN_MILLISECONDS = 1500
-const MAXIMUM_MILLISECONDS = 9000
-/** Positions that are drawn; more than there are instances and workers. */
-const POSITIONS = 1000
+/** Mean time between the starts of two faults, in milliseconds. It is shorter than their mean duration, so that faults overlap. */
+const MEAN_INTERVAL_MILLISECONDS = 700
+const MINIMUM_DURATION_MILLISECONDS = 200
+const MEAN_DURATION_MILLISECONDS = 1500
+const MAXIMUM_DURATION_MILLISECONDS = 9000
+/** Range of the positions that are drawn; more than there are instances and workers. */
+const POSITION_RANGE = 1000
 const SLOW_APPEND_MILLISECONDS = 240
-/** Longest time that a stop takes, as the platform states it. */
+/** Longest time that a worker takes to stop a run, as stated by the platform. */
 const SLOW_STOP_MILLISECONDS = 900
 
-/** Which instances a fault strikes. */
-type Scope = 'one' | 'holder' | 'all'
-const SCOPES: readonly Scope[] = ['one', 'one', 'one', 'one', 'holder', 'holder', 'all']
-const PATH_FAULTS: readonly PathFault[] = ['slow', 'late', 'cutThere', 'cutBack', 'silent', 'reset']
+/** Instances that a fault affects. */
+type Scope = 'one' | 'activeScheduler' | 'all'
+const SCOPES: readonly Scope[] = ['one', 'one', 'one', 'one', 'activeScheduler', 'activeScheduler', 'all']
+const PATH_FAULTS: readonly PathFault[] = ['slow', 'late', 'cutRequests', 'cutResponses', 'silent', 'reset']
 
-/** What a fault strikes, drawn from the seed. */
+/** A fault with its time and targets, drawn from the seed. */
 export interface PlannedFault {
   readonly atMilliseconds: number
   readonly kind: string
@@ -32,129 +32,129 @@
   readonly durationMilliseconds: number
 }
 
-interface Struck extends PlannedFault {
+interface TargetedFault extends PlannedFault {
   readonly instances: readonly InstanceProcess[]
-  readonly struckWorker: FakeWorker
+  readonly targetWorker: FakeWorker
 }
 
 interface FaultKind {
   readonly weight: number
-  /** Begins the fault; returns what ends it, if it does not end by itself. */
-  begin (site: SoakSite, struck: Struck): (() => void) | undefined
+  /** Starts the fault. Returns a function that ends it, unless it ends by itself. */
+  start (site: SoakSite, fault: TargetedFault): (() => void) | undefined
 }
 
-/** A fault of processes, which are started again or wake by themselves. */
-function processes (weight: number, strike: (instance: InstanceProcess, milliseconds: number) => void): FaultKind {
+/** Creates a fault of processes, which are restarted or resumed automatically. */
+function processFault (weight: number, inject: (instance: InstanceProcess, milliseconds: number) => void): FaultKind {
   return {
     weight,
-    begin: (_site, { instances, durationMilliseconds }) => {
-      for (const instance of instances) strike(instance, durationMilliseconds)
+    start: (_site, { instances, durationMilliseconds }) => {
+      for (const instance of instances) inject(instance, durationMilliseconds)
       return undefined
     }
   }
 }
 
-/** A fault of paths from the instances that are struck. */
-function paths (weight: number, set: (site: SoakSite, instance: InstanceProcess, fault: PathFault, struck: Struck) => void): FaultKind {
+/** Creates a fault of paths from the affected instances. */
+function pathFault (weight: number, set: (site: SoakSite, instance: InstanceProcess, pathFault: PathFault, fault: TargetedFault) => void): FaultKind {
   return {
     weight,
-    begin: (site, struck) => {
-      for (const instance of struck.instances) set(site, instance, struck.pathFault, struck)
-      return () => { for (const instance of struck.instances) set(site, instance, 'none', struck) }
+    start: (site, fault) => {
+      for (const instance of fault.instances) set(site, instance, fault.pathFault, fault)
+      return () => { for (const instance of fault.instances) set(site, instance, 'none', fault) }
     }
   }
 }
 
-/** A fault of the log itself. */
-function log (weight: number, set: (site: SoakSite) => void): FaultKind {
+/** Creates a fault of the log itself. */
+function logFault (weight: number, set: (site: SoakSite) => void): FaultKind {
   return {
     weight,
-    begin: site => {
-      site.markUnstable(site.instances, MAXIMUM_MILLISECONDS)
+    start: site => {
+      site.markUnstable(site.instances, MAXIMUM_DURATION_MILLISECONDS)
       set(site)
       return () => Object.assign(site.log, { fault: 'none', appendMilliseconds: APPEND_MILLISECONDS })
     }
   }
 }
 
-/** A fault of one worker. */
-function worker (weight: number, begin: (worker: FakeWorker, site: SoakSite) => void, end: (worker: FakeWorker, site: SoakSite) => void = heal): FaultKind {
+/** Creates a fault of one worker. */
+function workerFault (weight: number, start: (worker: FakeWorker, site: SoakSite) => void, end: (worker: FakeWorker, site: SoakSite) => void = removeFaults): FaultKind {
   return {
     weight,
-    begin: (site, { struckWorker }) => {
-      begin(struckWorker, site)
-      return () => end(struckWorker, site)
+    start: (site, { targetWorker }) => {
+      start(targetWorker, site)
+      return () => end(targetWorker, site)
     }
   }
 }
 
-function heal (worker: FakeWorker): void {
+function removeFaults (worker: FakeWorker): void {
   Object.assign(worker, { fault: 'none', endKind: 'done', stopMilliseconds: 0 })
 }
 
-const KINDS: Readonly<Record<string, FaultKind>> = {
-  kill: processes(4, (instance, milliseconds) => instance.kill(milliseconds)),
-  stop: processes(4, (instance, milliseconds) => instance.stop(milliseconds)),
-  pause: processes(4, (instance, milliseconds) => instance.pause(milliseconds)),
-  reload: processes(1, instance => instance.reload()),
-  logPath: paths(4, (site, instance, fault) => site.setLogPath(instance, fault)),
-  linkPaths: paths(2, (site, instance, fault) => {
+const FAULT_KINDS: Readonly<Record<string, FaultKind>> = {
+  kill: processFault(4, (instance, milliseconds) => instance.kill(milliseconds)),
+  stop: processFault(4, (instance, milliseconds) => instance.stop(milliseconds)),
+  pause: processFault(4, (instance, milliseconds) => instance.pause(milliseconds)),
+  reload: processFault(1, instance => instance.reload()),
+  logPath: pathFault(4, (site, instance, fault) => site.setLogPath(instance, fault)),
+  linkPaths: pathFault(2, (site, instance, fault) => {
     for (const other of site.instances) {
       site.setLinkPath(instance, other, fault)
       site.setLinkPath(other, instance, fault)
     }
   }),
-  workerPath: paths(4, (site, instance, fault, { struckWorker }) => site.setWorkerPath(instance, struckWorker, fault)),
-  workerPaths: paths(2, (site, instance, fault) => { for (const one of site.workers.values()) site.setWorkerPath(instance, one, fault) }),
-  allPaths: paths(2, (site, instance, fault) => {
+  workerPath: pathFault(4, (site, instance, fault, { targetWorker }) => site.setWorkerPath(instance, targetWorker, fault)),
+  workerPaths: pathFault(2, (site, instance, fault) => { for (const one of site.workers.values()) site.setWorkerPath(instance, one, fault) }),
+  allPaths: pathFault(2, (site, instance, fault) => {
     site.setLogPath(instance, fault)
     for (const one of site.workers.values()) site.setWorkerPath(instance, one, fault)
     for (const other of site.instances) site.setLinkPath(instance, other, fault)
   }),
-  logRefuses: log(1, site => { site.log.fault = 'refused' }),
-  logLosesAnswers: log(1, site => { site.log.fault = 'answerLost' }),
-  logSlow: log(1, site => { site.log.appendMilliseconds = SLOW_APPEND_MILLISECONDS }),
-  workerRestarts: worker(2, (one, site) => site.crashWorker(one), (one, site) => site.startWorker(one)),
-  workerReplaced: worker(1, (one, site) => { site.replaceWorker(one) }),
-  workerFailsRuns: worker(1, one => { one.endKind = 'failed' }),
-  workerLosesAnswers: worker(1, one => { one.fault = 'answerLost' }),
-  workerUnhealthy: worker(1, one => { one.fault = 'unhealthy' }),
-  workerStopsSlowly: worker(1, one => { one.stopMilliseconds = SLOW_STOP_MILLISECONDS })
+  logRefuses: logFault(1, site => { site.log.fault = 'refused' }),
+  logLosesAnswers: logFault(1, site => { site.log.fault = 'answerLost' }),
+  logSlow: logFault(1, site => { site.log.appendMilliseconds = SLOW_APPEND_MILLISECONDS }),
+  workerRestarts: workerFault(2, (one, site) => site.crashWorker(one), (one, site) => site.startWorker(one)),
+  workerReplaced: workerFault(1, (one, site) => { site.replaceWorker(one) }),
+  workerFailsRuns: workerFault(1, one => { one.endKind = 'failed' }),
+  workerLosesAnswers: workerFault(1, one => { one.fault = 'answerLost' }),
+  workerUnhealthy: workerFault(1, one => { one.fault = 'unhealthy' }),
+  workerStopsSlowly: workerFault(1, one => { one.stopMilliseconds = SLOW_STOP_MILLISECONDS })
 }
 
-/** Draws faults for some time, in the order of their begin. */
+/** Draws the faults of a period, in the order of their start times. */
 export function planFaults (random: Random, milliseconds: number): PlannedFault[] {
-  const names = Object.entries(KINDS).flatMap(([name, { weight }]) => Array<string>(weight).fill(name))
+  const names = Object.entries(FAULT_KINDS).flatMap(([name, { weight }]) => Array<string>(weight).fill(name))
   const planned: PlannedFault[] = []
-  for (let at = random.exponential(GAP_MILLISECONDS); at < milliseconds; at += random.exponential(GAP_MILLISECONDS)) {
+  for (let at = random.exponential(MEAN_INTERVAL_MILLISECONDS); at < milliseconds; at += random.exponential(MEAN_INTERVAL_MILLISECONDS)) {
     planned.push({
       atMilliseconds: Math.round(at),
       kind: random.pick(names),
       scope: random.pick(SCOPES),
-      instance: random.integerBelow(POSITIONS),
-      worker: random.integerBelow(POSITIONS),
+      instance: random.integerBelow(POSITION_RANGE),
+      worker: random.integerBelow(POSITION_RANGE),
       pathFault: random.pick(PATH_FAULTS),
-      durationMilliseconds: Math.round(Math.min(MAXIMUM_MILLISECONDS, MINIMUM_MILLISECONDS + random.exponential(MEAN_MILLISECONDS)))
+      durationMilliseconds: Math.round(Math.min(MAXIMUM_DURATION_MILLISECONDS, MINIMUM_DURATION_MILLISECONDS + random.exponential(MEAN_DURATION_MILLISECONDS)))
     })
   }
   return planned
 }
 
-/** Begins a fault; returns a line that says what was struck, and what ends it, if it does not end by itself. */
+/** Starts a fault. Returns a history line that names its targets, and a function that ends it, unless it ends by itself. */
 export function injectFault (site: SoakSite, planned: PlannedFault): { readonly line: string, readonly end: (() => void) | undefined } {
-  const instances = strikeInstances(site, planned)
+  const instances = selectInstances(site, planned)
   const workers = [...site.workers.values()]
-  const struckWorker = workers[planned.worker % workers.length] as FakeWorker
+  const targetWorker = workers[planned.worker % workers.length] as FakeWorker
   site.markUnstable(instances, planned.durationMilliseconds)
-  const end = KINDS[planned.kind]?.begin(site, { ...planned, instances, struckWorker })
-  const line = `${new Date().toISOString()} ${planned.atMilliseconds} ms: ${planned.kind} of ${instances.map(({ name }) => name).join(', ')}; worker ${struckWorker.identity}, path ${planned.pathFault}, ${planned.durationMilliseconds} ms`
+  const end = FAULT_KINDS[planned.kind]?.start(site, { ...planned, instances, targetWorker })
+  const line = `${new Date().toISOString()} ${planned.atMilliseconds} ms: ${planned.kind} of ${instances.map(({ name }) => name).join(', ')}; worker ${targetWorker.identity}, path ${planned.pathFault}, ${planned.durationMilliseconds} ms`
   return { line, end }
 }
 
-function strikeInstances (site: SoakSite, { scope, instance }: PlannedFault): readonly InstanceProcess[] {
+function selectInstances (site: SoakSite, { scope, instance }: PlannedFault): readonly InstanceProcess[] {
   switch (scope) {
     case 'one': return [site.instances[instance % site.instances.length] as InstanceProcess]
-    case 'holder': return [site.activeSchedulerInstance]
+    case 'activeScheduler': return [site.activeSchedulerInstance]
     case 'all': return site.instances
   }
 }
--- a/test/soak/faultyPath.ts
+++ b/test/soak/faultyPath.ts
@@ -1,27 +1,30 @@
 import { connect, createServer, type AddressInfo, type Socket } from 'node:net'
 import { LOOPBACK } from './loopbackStandin.js'
 
-/** How a path treats bytes. A connection that was cut stays silent after the path has healed, until one side gives it up. */
-export type PathFault = 'none' | 'slow' | 'late' | 'cutThere' | 'cutBack' | 'silent' | 'reset'
+/**
+ * Fault of a path. `cutRequests` drops the bytes to the target, `cutResponses` the bytes from it, `silent` both. A connection on
+ * which bytes were dropped stays silent after the fault has ended, until one side closes it.
+ */
+export type PathFault = 'none' | 'slow' | 'late' | 'cutRequests' | 'cutResponses' | 'silent' | 'reset'
 
-/** Time that bytes take in one direction, in milliseconds: a slow path, and one whose calls arrive after their time limits. */
+/** One-way delays in milliseconds. Calls on a `late` path arrive after their timeouts. */
 const DELAYS_MILLISECONDS: Readonly<Partial<Record<PathFault, number>>> = { slow: 120, late: 2500 }
-const CUTS_THERE: ReadonlySet<PathFault> = new Set(['cutThere', 'silent'])
-const CUTS_BACK: ReadonlySet<PathFault> = new Set(['cutBack', 'silent'])
+const CUTS_REQUESTS: ReadonlySet<PathFault> = new Set(['cutRequests', 'silent'])
+const CUTS_RESPONSES: ReadonlySet<PathFault> = new Set(['cutResponses', 'silent'])
 
-/** A TCP proxy to one address that delays, resets, cuts or silences connections. */
+/** A TCP proxy to one address that delays or drops bytes, or resets connections. */
 export class FaultyPath {
   private readonly sockets = new Set<Socket>()
   private readonly server = createServer({ allowHalfOpen: true }, client => this.open(client))
   private current: PathFault = 'none'
-  private listening = ''
+  private listeningAddress = ''
 
-  /** `target`: host:port. */
+  /** `target` is an address as host:port. */
   constructor (private readonly target: string) {}
 
-  /** Address as host:port, once the path listens. */
+  /** The proxy's address as host:port; empty until it listens. */
   get address (): string {
-    return this.listening
+    return this.listeningAddress
   }
 
   setFault (fault: PathFault): void {
@@ -31,11 +34,11 @@
 
   async listen (): Promise<this> {
     await new Promise<void>(resolve => this.server.listen(0, LOOPBACK, () => resolve()))
-    this.listening = `${LOOPBACK}:${(this.server.address() as AddressInfo).port}`
+    this.listeningAddress = `${LOOPBACK}:${(this.server.address() as AddressInfo).port}`
     return this
   }
 
-  /** Resets all connections, as when the process at the target ends. */
+  /** Resets all connections, as when the process at the target exits. */
   resetAll (): void {
     for (const socket of this.sockets) socket.resetAndDestroy()
   }
@@ -47,35 +50,35 @@
 
   private open (client: Socket): void {
     if (this.current === 'reset') {
-      client.on('error', () => {}) // The other side may have reset it first.
+      client.on('error', () => {}) // The peer may have reset the connection first.
       client.resetAndDestroy()
       return
     }
     const separator = this.target.lastIndexOf(':')
     const target = connect({ host: this.target.slice(0, separator), port: Number(this.target.slice(separator + 1)), allowHalfOpen: true, noDelay: true })
     client.setNoDelay(true)
-    this.pump(client, target, CUTS_THERE)
-    this.pump(target, client, CUTS_BACK)
+    this.forward(client, target, CUTS_REQUESTS)
+    this.forward(target, client, CUTS_RESPONSES)
   }
 
-  private pump (from: Socket, to: Socket, cuts: ReadonlySet<PathFault>): void {
+  private forward (from: Socket, to: Socket, cuts: ReadonlySet<PathFault>): void {
     let isCut = false
     let latestAt = 0
-    const pass = (act: () => void): void => {
+    const schedule = (action: () => void): void => {
       isCut ||= cuts.has(this.current)
       if (isCut) return
       const now = performance.now()
       latestAt = Math.max(latestAt, now + (DELAYS_MILLISECONDS[this.current] ?? 0))
-      if (latestAt <= now) act()
-      else setTimeout(act, latestAt - now)
+      if (latestAt <= now) action()
+      else setTimeout(action, latestAt - now)
     }
     this.sockets.add(from)
-    from.on('data', chunk => pass(() => { if (!to.destroyed) to.write(chunk) }))
-    from.on('end', () => pass(() => to.end()))
-    from.on('error', () => pass(() => to.resetAndDestroy()))
+    from.on('data', chunk => schedule(() => { if (!to.destroyed) to.write(chunk) }))
+    from.on('end', () => schedule(() => to.end()))
+    from.on('error', () => schedule(() => to.resetAndDestroy()))
     from.on('close', () => {
       this.sockets.delete(from)
-      pass(() => to.destroy())
+      schedule(() => to.destroy())
     })
   }
 }
