--- a/test/soak/callers.ts
+++ b/test/soak/callers.ts
@@ -5,16 +5,16 @@
 import type { SentRequest } from './soakChecks.js'
 import { QUEUES, type SoakJob, type SoakSite } from './soakSite.js'
 
-const TIME_LIMIT_MILLISECONDS = 3000
-/** Mean pause of a caller between two acts, in milliseconds. */
-const PAUSE_MILLISECONDS = 400
-const RETRY_MILLISECONDS = 300
-/** Longest wait before an accepted job is sent once more, in milliseconds. */
-const LATE_REPEAT_MILLISECONDS = 4000
+const CALL_TIMEOUT_MILLISECONDS = 3000
+/** Mean pause of a caller between two actions, in milliseconds. */
+const MEAN_PAUSE_MILLISECONDS = 400
+const RETRY_DELAY_MILLISECONDS = 300
+/** Longest delay before an accepted job is submitted again, in milliseconds. */
+const MAXIMUM_RESUBMISSION_DELAY_MILLISECONDS = 4000
 const FINAL_STATES: ReadonlySet<string> = new Set(['completed', 'canceled', 'failed'])
 
 const task = { millicpus: 1000, memMb: 10, estMs: 800 }
-/** Shapes of jobs: steps in a row, gangs, more tasks than a worker has room for. */
+/** Shapes of jobs: sequential steps, gangs, and more tasks than fit on one worker. */
 const SHAPES: ReadonlyArray<readonly object[]> = [
   [{ ...task, count: 1 }],
   [{ ...task, count: 3 }],
@@ -25,7 +25,7 @@
   [{ ...task, count: 9 }]
 ]
 
-/** One caller with kept connections. It stays with an instance until that one fails it. */
+/** One caller with persistent connections. It uses one instance until a call to that instance fails. */
 export class Caller {
   private readonly http = new HttpCaller(1)
   private instance: number
@@ -34,31 +34,31 @@
     this.instance = random.integerBelow(site.instances.length)
   }
 
-  /** Acts until the signal aborts. */
+  /** Submits, queries and cancels jobs until the signal aborts. */
   async run (signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await delay(this.random.exponential(PAUSE_MILLISECONDS), signal)
-      const dice = this.random.fraction()
+      await delay(this.random.exponential(MEAN_PAUSE_MILLISECONDS), signal)
+      const draw = this.random.fraction()
       const job = this.site.jobs.length === 0 ? undefined : this.random.pick(this.site.jobs)
-      if (job === undefined || dice < 0.4) await this.submitNew(signal)
-      else if (dice < 0.75) await this.askState(job)
-      else if (dice < 0.82) await this.cancel(job)
-      else await this.askWaiting(this.random.pick(QUEUES))
+      if (job === undefined || draw < 0.4) await this.submitNew(signal)
+      else if (draw < 0.75) await this.fetchState(job)
+      else if (draw < 0.82) await this.cancel(job)
+      else await this.fetchWaitingCount(this.random.pick(QUEUES))
     }
   }
 
-  /** Repeats submissions of unknown outcome, and asks for states until they are final. Returns the last states that were shown. */
-  async settle (jobs: readonly SoakJob[], signal: AbortSignal): Promise<Map<SoakJob, string>> {
+  /** Repeats submissions of unknown outcome and polls states until they are final. Returns the last state received for each job. */
+  async waitForFinalStates (jobs: readonly SoakJob[], signal: AbortSignal): Promise<Map<SoakJob, string>> {
     const states = new Map<SoakJob, string>()
-    let open = jobs.filter(job => job.mayRun)
-    while (open.length > 0 && !signal.aborted) {
-      for (const job of open) {
+    let unsettled = jobs.filter(job => job.mayRun)
+    while (unsettled.length > 0 && !signal.aborted) {
+      for (const job of unsettled) {
         if (job.acceptedAt === undefined) await this.submit(job)
-        else states.set(job, await this.askState(job) ?? states.get(job) ?? 'unknown')
+        else states.set(job, await this.fetchState(job) ?? states.get(job) ?? 'unknown')
       }
-      open = open.filter(job => !FINAL_STATES.has(states.get(job) ?? ''))
+      unsettled = unsettled.filter(job => !FINAL_STATES.has(states.get(job) ?? ''))
       this.changeInstance()
-      await delay(RETRY_MILLISECONDS, signal)
+      await delay(RETRY_DELAY_MILLISECONDS, signal)
     }
     return states
   }
@@ -76,10 +76,10 @@
     this.site.jobs.push(job)
     do {
       await this.submit(job)
-      if (job.acceptedAt === undefined) await delay(RETRY_MILLISECONDS, signal)
+      if (job.acceptedAt === undefined) await delay(RETRY_DELAY_MILLISECONDS, signal)
     } while (job.acceptedAt === undefined && !signal.aborted && (job.mayRun || this.random.fraction() < 0.7))
     if (job.acceptedAt === undefined || this.random.fraction() > 0.1) return
-    await delay(this.random.integerBelow(LATE_REPEAT_MILLISECONDS), signal)
+    await delay(this.random.integerBelow(MAXIMUM_RESUBMISSION_DELAY_MILLISECONDS), signal)
     await this.submit(job)
   }
 
@@ -93,7 +93,7 @@
     } else if (outcome.status !== 429 && outcome.status !== 503) this.site.checks.note(`Unexpected: status ${outcome.status} for the submission of ${job.identity}`)
   }
 
-  private async askState (job: SoakJob): Promise<string | undefined> {
+  private async fetchState (job: SoakJob): Promise<string | undefined> {
     const { outcome, request } = await this.call('GET', `/${job.queue}/${job.identity}`)
     if (outcome.kind !== 'answer') return undefined
     const state = outcome.status === 200 ? JSON.parse(outcome.body.toString()).state : undefined
@@ -107,7 +107,7 @@
     if (outcome.kind === 'answer' && outcome.status === 200) job.cancelledAt ??= performance.now()
   }
 
-  private async askWaiting (queue: string): Promise<void> {
+  private async fetchWaitingCount (queue: string): Promise<void> {
     const { outcome, request } = await this.call('GET', `/${queue}/`)
     if (outcome.kind === 'answer' && outcome.status === 200) this.site.checks.onWaitingCount(queue, request, JSON.parse(outcome.body.toString()).waiting)
   }
@@ -115,8 +115,8 @@
   private async call (method: 'GET' | 'POST' | 'DELETE', path: string, body?: string): Promise<{ outcome: HttpOutcome, request: SentRequest }> {
     const instance = this.site.instances[this.instance] as SentRequest['instance']
     const request = { instance, process: instance.process, description: `${method} ${path}`, sentAt: performance.now() }
-    const headers = { host: 'jobs.example', 'vanillaturn-deadline-ms': String(TIME_LIMIT_MILLISECONDS) }
-    const outcome = await this.http.call(instance.callersAddress, { method, path, body, headers, timeoutMilliseconds: TIME_LIMIT_MILLISECONDS })
+    const headers = { host: 'jobs.example', 'vanillaturn-deadline-ms': String(CALL_TIMEOUT_MILLISECONDS) }
+    const outcome = await this.http.call(instance.callersAddress, { method, path, body, headers, timeoutMilliseconds: CALL_TIMEOUT_MILLISECONDS })
     if (outcome.kind === 'answer' && request.process !== undefined && request.process === instance.process) request.process.hasResponded = true
     if (outcome.kind === 'unknown' && outcome.reason !== 'timed out') this.site.checks.onConnectionBroken(request)
     if (outcome.kind !== 'answer' || outcome.status >= 500) this.changeInstance()
--- a/test/soak/instanceProcess.ts
+++ b/test/soak/instanceProcess.ts
@@ -3,36 +3,36 @@
 import { join } from 'node:path'
 
 const PROGRAM = ['--max-old-space-size=160', '--max-semi-space-size=4', 'target/instance.cjs']
-/** Grace time between SIGTERM and SIGKILL, in milliseconds. */
+/** Grace period between SIGTERM and SIGKILL, in milliseconds. */
 const GRACE_MILLISECONDS = 6000
 const PORTS = { callers: 8161, readiness: 8167, link: 7720 }
 
-/** Pause before a process that ended is started again, in milliseconds, unless a fault says otherwise. */
-const RESTART_MILLISECONDS = 1000
+/** Delay before an ended process is restarted, in milliseconds, unless a fault sets another one. */
+const RESTART_DELAY_MILLISECONDS = 1000
 
-/** One process of the program, from start to end. Times are on the monotonic clock in milliseconds. */
+/** State of one process of the program. Times are monotonic, in milliseconds. */
 export interface ProcessState {
   readonly child: ChildProcess
-  /** When SIGTERM was sent. */
+  /** Time at which SIGTERM was sent. */
   stoppedAt: number | undefined
   isKilled: boolean
   /** End of the latest pause. */
   pausedUntil: number
   restartDelayMilliseconds: number
-  /** It has answered a caller. */
+  /** Whether the process has responded to a caller. */
   hasResponded: boolean
 }
 
-/** What an instance tells about its processes. */
+/** Receives the events of an instance's processes. */
 export interface InstanceObserver {
   onStarted (instance: InstanceProcess): void
-  onEnded (instance: InstanceProcess, how: string): void
+  onEnded (instance: InstanceProcess, exitStatus: string): void
   onProblem (problem: string): void
-  /** A bound in time was not kept. */
+  /** A time bound was missed. */
   onMissedBound (problem: string): void
 }
 
-/** An instance of the program on its own loopback address, as the platform runs it: started, signalled, restarted. */
+/** An instance of the program on its own loopback address, which is started, signalled and restarted as the platform does it. */
 export class InstanceProcess {
   private current: ProcessState | undefined
   private readonly settingsPath: string
@@ -56,7 +56,7 @@
     return `${this.host}:${PORTS.link}`
   }
 
-  /** The running process. */
+  /** State of the running process. */
   get process (): ProcessState | undefined {
     return this.current
   }
@@ -78,61 +78,61 @@
     const output = openSync(this.logPath, 'a')
     const child = spawn(process.execPath, PROGRAM, { stdio: ['ignore', output, output], env: { ...process.env, VANILLATURN_BOOT: this.settingsPath } })
     closeSync(output)
-    const process: ProcessState = { child, stoppedAt: undefined, isKilled: false, pausedUntil: -Infinity, restartDelayMilliseconds: RESTART_MILLISECONDS, hasResponded: false }
-    this.current = process
+    const state: ProcessState = { child, stoppedAt: undefined, isKilled: false, pausedUntil: -Infinity, restartDelayMilliseconds: RESTART_DELAY_MILLISECONDS, hasResponded: false }
+    this.current = state
     this.observer.onStarted(this)
-    child.once('exit', (code, signal) => this.onExit(process, code ?? signal))
+    child.once('exit', (code, signal) => this.onExit(state, code ?? signal))
   }
 
-  /** Ends the process at once; another one is started later. */
-  kill (downMilliseconds: number): void {
+  /** Kills the process at once. Another one is started after the delay. */
+  kill (restartDelayMilliseconds: number): void {
     if (this.current === undefined) return
-    Object.assign(this.current, { isKilled: true, restartDelayMilliseconds: downMilliseconds })
+    Object.assign(this.current, { isKilled: true, restartDelayMilliseconds })
     this.current.child.kill('SIGKILL')
   }
 
-  /** Stops the process gracefully; another one is started some time after its end. */
-  stop (downMilliseconds: number): void {
-    const process = this.current
-    if (process === undefined || process.stoppedAt !== undefined) return
-    Object.assign(process, { stoppedAt: performance.now(), restartDelayMilliseconds: downMilliseconds })
-    process.child.kill('SIGTERM')
+  /** Stops the process gracefully. Another one is started after the delay from its exit. */
+  stop (restartDelayMilliseconds: number): void {
+    const state = this.current
+    if (state === undefined || state.stoppedAt !== undefined) return
+    Object.assign(state, { stoppedAt: performance.now(), restartDelayMilliseconds })
+    state.child.kill('SIGTERM')
     setTimeout(() => {
-      if (this.current !== process || process.isKilled) return
-      if (process.pausedUntil < Number(process.stoppedAt)) this.observer.onMissedBound(`GracefulStop: ${this.name} has not ended ${GRACE_MILLISECONDS} ms after SIGTERM`)
-      this.kill(downMilliseconds)
+      if (this.current !== state || state.isKilled) return
+      if (state.pausedUntil < Number(state.stoppedAt)) this.observer.onMissedBound(`GracefulStop: ${this.name} has not ended ${GRACE_MILLISECONDS} ms after SIGTERM`)
+      this.kill(restartDelayMilliseconds)
     }, GRACE_MILLISECONDS).unref()
   }
 
   pause (milliseconds: number): void {
-    const process = this.current
-    if (process === undefined) return
-    process.pausedUntil = Math.max(process.pausedUntil, performance.now() + milliseconds)
-    process.child.kill('SIGSTOP')
-    setTimeout(() => { if (performance.now() >= process.pausedUntil) process.child.kill('SIGCONT') }, milliseconds + 1)
+    const state = this.current
+    if (state === undefined) return
+    state.pausedUntil = Math.max(state.pausedUntil, performance.now() + milliseconds)
+    state.child.kill('SIGSTOP')
+    setTimeout(() => { if (performance.now() >= state.pausedUntil) state.child.kill('SIGCONT') }, milliseconds + 1)
   }
 
-  /** Tells the process that its settings file has changed. One that does not handle signals yet would be ended by that. */
+  /** Tells the process to reload its settings file, once it has responded: SIGHUP ends a process that has not installed its handlers yet. */
   reload (): void {
     if (this.current?.hasResponded === true) this.current.child.kill('SIGHUP')
   }
 
-  /** Ends the process for good. */
+  /** Ends the process permanently. */
   async close (): Promise<void> {
     this.isClosed = true
-    const process = this.current
-    if (process === undefined) return
-    const ended = new Promise(resolve => process.child.once('exit', resolve))
+    const state = this.current
+    if (state === undefined) return
+    const ended = new Promise(resolve => state.child.once('exit', resolve))
     this.kill(0)
     await ended
   }
 
-  private onExit (process: ProcessState, how: number | string | null): void {
+  private onExit (state: ProcessState, exitStatus: number | string | null): void {
     this.current = undefined
-    this.observer.onEnded(this, `${how}`)
-    // A process that has not come to listen yet is ended by the signal itself.
-    const isAsked = (process.stoppedAt !== undefined && (how === 0 || how === 'SIGTERM')) || (process.isKilled && how === 'SIGKILL')
-    if (!isAsked) this.observer.onProblem(`EndsByItself: ${this.name} ended with ${how}`)
-    setTimeout(() => this.start(), process.restartDelayMilliseconds)
+    this.observer.onEnded(this, `${exitStatus}`)
+    // SIGTERM itself ends a process that is not listening yet.
+    const isExpected = (state.stoppedAt !== undefined && (exitStatus === 0 || exitStatus === 'SIGTERM')) || (state.isKilled && exitStatus === 'SIGKILL')
+    if (!isExpected) this.observer.onProblem(`EndsByItself: ${this.name} ended with ${exitStatus}`)
+    setTimeout(() => this.start(), state.restartDelayMilliseconds)
   }
 }
--- a/test/soak/logStandin.ts
+++ b/test/soak/logStandin.ts
@@ -3,17 +3,17 @@
 import { decodeRecords, encodeRecords, READ_HEADER_BYTES } from '../../platform/logClient.js'
 import { LoopbackStandin, type StandinResponse, type StandinRequest } from './loopbackStandin.js'
 
-/** Most items of a page of newest records. */
+/** Largest number of items on a page of newest records. */
 const PAGE_ITEMS = 500
 const DEFAULT_READ_KILOBYTES = 1024
 const UNAVAILABLE: StandinResponse = { status: 503, body: {} }
 
-/** Changes the value of a record for one reader. */
+/** Rewrites the value of a record for one reader. */
 export type RewriteValue = (topic: string, record: StoredRecord) => Uint8Array | undefined
 
-/** The platform's log over HTTP, as one instance sees it. */
+/** Stand-in of the platform's log over HTTP for one instance. */
 export class LogStandin extends LoopbackStandin {
-  constructor (private readonly log: FakeRecordLog, private readonly translate: RewriteValue) {
+  constructor (private readonly log: FakeRecordLog, private readonly rewriteValue: RewriteValue) {
     super()
   }
 
@@ -21,7 +21,7 @@
     const topic = url.searchParams.get('topic') ?? ''
     const partition = Number(url.searchParams.get('part'))
     switch (url.pathname) {
-      case '/v1/log-append': return encodeAppend(await this.log.append(topic, partition, decodeRecords(body, 0), appendOptions(url.searchParams)))
+      case '/v1/log-append': return encodeAppendOutcome(await this.log.append(topic, partition, decodeRecords(body, 0), appendOptions(url.searchParams)))
       case '/v1/log-read': return await this.read(topic, partition, url.searchParams)
       case '/v1/log-newest': return await this.newest(topic, partition, url.searchParams.get('after') ?? '')
       default: return { status: 404, body: {} }
@@ -35,11 +35,11 @@
     const header = Buffer.alloc(READ_HEADER_BYTES)
     header.writeBigUInt64BE(BigInt(outcome.next))
     const parts: Buffer[] = [header]
-    let left = 1024 * Number(query.get('maxKb') ?? DEFAULT_READ_KILOBYTES)
+    let remainingBytes = 1024 * Number(query.get('maxKb') ?? DEFAULT_READ_KILOBYTES)
     for (const record of outcome.records) {
-      const bytes = encodeRecords([{ key: record.key, value: this.translate(topic, record) }])
-      left -= bytes.length
-      if (left < 0) break
+      const bytes = encodeRecords([{ key: record.key, value: this.rewriteValue(topic, record) }])
+      remainingBytes -= bytes.length
+      if (remainingBytes < 0) break
       parts.push(bytes)
     }
     return { status: 200, body: Buffer.concat(parts) }
@@ -49,7 +49,7 @@
     const outcome = await this.log.snapshot(topic, partition)
     if (outcome.kind === 'unavailable') return UNAVAILABLE
     const records = outcome.records.filter(record => record.key > after).sort((left, right) => left.key < right.key ? -1 : 1)
-    const items = records.slice(0, PAGE_ITEMS).map(record => ({ key: record.key, value: Buffer.from(this.translate(topic, record) ?? []).toString('base64'), offset: record.offset }))
+    const items = records.slice(0, PAGE_ITEMS).map(record => ({ key: record.key, value: Buffer.from(this.rewriteValue(topic, record) ?? []).toString('base64'), offset: record.offset }))
     return { status: 200, body: { items, more: records.length > PAGE_ITEMS, end: outcome.end } }
   }
 }
@@ -63,7 +63,7 @@
   }
 }
 
-function encodeAppend (outcome: AppendOutcome): StandinResponse {
+function encodeAppendOutcome (outcome: AppendOutcome): StandinResponse {
   switch (outcome.kind) {
     case 'stored': return { status: 200, body: { end: outcome.end } }
     case 'conflict': return { status: 412, body: { end: outcome.end } }
--- a/test/soak/soakChecks.ts
+++ b/test/soak/soakChecks.ts
@@ -3,11 +3,11 @@
 import type { InstanceProcess, ProcessState } from './instanceProcess.js'
 import type { SoakJob, SoakSite } from './soakSite.js'
 
-/** Bounds that the platform states, in milliseconds. */
+/** Time bounds that the platform states, in milliseconds. */
 const VISIBLE_MILLISECONDS = 3000
 const WAITING_AGE_MILLISECONDS = VISIBLE_MILLISECONDS + 2000
 const CANCEL_MILLISECONDS = 3000
-const LOSS_SLACK_MILLISECONDS = 200
+const UNREAD_SLACK_MILLISECONDS = 200
 export const STABLE_WINDOW_MILLISECONDS = 3000
 
 /** A request that was sent to a process. */
@@ -15,15 +15,15 @@
   readonly instance: InstanceProcess
   readonly process: ProcessState | undefined
   readonly description: string
-  /** On the monotonic clock in milliseconds. */
+  /** Monotonic time in milliseconds. */
   readonly sentAt: number
 }
 
-/** Checks what callers are told against what workers have run. */
+/** Checks the responses to callers against the runs of the workers. */
 export class SoakChecks extends ClusterOracle {
-  /** Requests that were cut off so soon after they were sent that the process need not have read them. */
+  /** Number of requests interrupted so soon after they were sent that the process may not have read them. */
   interruptedUnread = 0
-  /** Bounds in time that were not kept while the machine was slow. */
+  /** Number of time bounds missed while the machine was slow. */
   excusedBounds = 0
 
   constructor (private readonly site: SoakSite) {
@@ -35,7 +35,7 @@
     super.note(`${new Date().toISOString()} ${problem}`)
   }
 
-  /** Notes that a bound in time was not kept, unless the machine was too slow for it. */
+  /** Notes a missed time bound, unless the machine was too slow to meet it. */
   noteMissedBound (problem: string): void {
     if (this.site.isMachineSlow) this.excusedBounds += 1
     else this.note(problem)
@@ -49,35 +49,35 @@
     this.note(`Unasked: ${task} run ${run} was started on ${worker.identity} ${Math.round(now - job.cancelledAt)} ms after its job was cancelled`)
   }
 
-  /** A connection ended without an answer. */
-  onConnectionBroken ({ instance, process: life, description: what, sentAt }: SentRequest): void {
-    if (life === undefined || life.isKilled || life.pausedUntil + STABLE_WINDOW_MILLISECONDS > sentAt) return
+  /** Checks a connection that ended without a response. */
+  onConnectionBroken ({ instance, process, description, sentAt }: SentRequest): void {
+    if (process === undefined || process.isKilled || process.pausedUntil + STABLE_WINDOW_MILLISECONDS > sentAt) return
     const duration = Math.round(performance.now() - sentAt)
-    if (duration <= LOSS_SLACK_MILLISECONDS) this.interruptedUnread += 1
-    else this.noteMissedBound(`WholeAnswer: ${instance.name} cut ${what} off after ${duration} ms${life.stoppedAt === undefined ? '' : ` and ${Math.round(performance.now() - life.stoppedAt)} ms after SIGTERM`}`)
+    if (duration <= UNREAD_SLACK_MILLISECONDS) this.interruptedUnread += 1
+    else this.noteMissedBound(`WholeAnswer: ${instance.name} interrupted ${description} after ${duration} ms${process.stoppedAt === undefined ? '' : ` and ${Math.round(performance.now() - process.stoppedAt)} ms after SIGTERM`}`)
   }
 
   onState (job: SoakJob, { instance, sentAt }: SentRequest, status: number, state: string): void {
     if (status === 410 && job.acceptedAt !== undefined && sentAt > job.acceptedAt + VISIBLE_MILLISECONDS) this.note(`NoJobLost: ${instance.name} does not know ${job.identity}, accepted ${Math.round(sentAt - job.acceptedAt)} ms before`)
     if (status !== 200) return
     const step = this.firstUnfinishedStep(job)
-    if (state === 'completed' && step >= 0) this.note(`CompletedMeansDone: ${instance.name} shows ${job.identity} as completed, step ${step} is not done`)
-    if (state === 'canceled' && !job.isCancelled) this.note(`NoJobLost: ${instance.name} shows ${job.identity} as cancelled, nobody has cancelled it`)
+    if (state === 'completed' && step >= 0) this.note(`CompletedMeansDone: ${instance.name} shows ${job.identity} as completed, but step ${step} is not done`)
+    if (state === 'canceled' && !job.isCancelled) this.note(`NoJobLost: ${instance.name} shows ${job.identity} as cancelled, but no caller cancelled it`)
     if (state === 'failed' && !this.expectedStates(job).includes('failed')) this.note(`NoJobLost: ${instance.name} shows ${job.identity} as failed without cause`)
   }
 
   onWaitingCount (queue: string, { instance, sentAt }: SentRequest, waiting: number): void {
     if (!this.site.isStable(instance)) return
     const expected = this.site.jobs.filter(job => job.queue === queue && job.acceptedAt !== undefined && job.acceptedAt + WAITING_AGE_MILLISECONDS < sentAt && !job.isCancelled && !this.hasStarted(job.identity))
-    if (2 * waiting < expected.length) this.note(`WaitingCount: ${instance.name} says that ${waiting} jobs of ${queue} wait, ${expected.length} do: ${expected[0]?.identity}`)
+    if (2 * waiting < expected.length) this.note(`WaitingCount: ${instance.name} reports ${waiting} waiting jobs of ${queue}, but ${expected.length} are waiting: ${expected[0]?.identity}`)
   }
 
-  /** What must hold at the end. `states`: the final state of each job that was accepted, as shown. */
+  /** Checks the site after all faults have ended. `states` holds the last state that a caller received for each job. */
   checkFinalStates (states: ReadonlyMap<SoakJob, string>): void {
     for (const job of this.site.jobs) {
-      if (!job.mayRun && this.hasStarted(job.identity)) this.note(`NotRunMeansNotRun: every attempt to submit ${job.identity} was refused, and it ran`)
+      if (!job.mayRun && this.hasStarted(job.identity)) this.note(`NotRunMeansNotRun: every attempt to submit ${job.identity} was refused, but it ran`)
       const state = states.get(job) ?? 'unknown'
-      const expected = this.expectedStates(job).map(word => word === 'cancelled' ? 'canceled' : word)
+      const expected = this.expectedStates(job).map(expectedState => expectedState === 'cancelled' ? 'canceled' : expectedState)
       if (job.mayRun && !expected.includes(state)) this.note(`NoJobLost: ${job.identity} is ${state} in the end`)
     }
     this.checkNothingLeft(this.site)
--- a/test/soak/soakSite.ts
+++ b/test/soak/soakSite.ts
@@ -13,60 +13,60 @@
 import { SoakChecks, STABLE_WINDOW_MILLISECONDS } from './soakChecks.js'
 import { WorkerStandin } from './workerStandin.js'
 
-/** Processor shares of the instances, in cores; the role goes to large ones. */
+/** Processor shares of the instances, in cores. Instances with a large share are preferred as active scheduler. */
 const PROCESSOR_SHARES = [1, 0.5, 0.25]
-const ROOM_OF_WORKER = 3
+const WORKER_CAPACITY = 3
 const HEARTBEAT_MILLISECONDS = 1500
-/** Time of an append and of an answer of the log, in milliseconds. */
+/** Time that the log takes for an append and for a response, in milliseconds. */
 export const APPEND_MILLISECONDS = 4
-const ANSWER_MILLISECONDS = 1
+const RESPONSE_MILLISECONDS = 1
 const READY_POLL_MILLISECONDS = 50
-/** Period in which the machine's slowness is watched, and the lateness from which it counts as slowed, in milliseconds. */
-const WATCH_MILLISECONDS = 50
+/** Period of the timer that measures its own lateness, and the lateness above which the machine counts as slow, in milliseconds. */
+const LATENESS_CHECK_MILLISECONDS = 50
 const SLOW_LATENESS_MILLISECONDS = 100
 const ROUTE = { host: 'jobs.example', service: 'pool', attempts: MAXIMUM_ATTEMPTS, stretch: 2, targetDurationMs: 500 }
 export const QUEUES = ['urgent', 'batch'] as const
 
-/** A job as its caller knows it. */
+/** A job with the outcomes that its caller received. */
 export interface SoakJob extends SubmittedStepJob {
   readonly queue: string
   readonly body: string
-  /** When the first acceptance was read, on the monotonic clock in milliseconds. */
+  /** Monotonic time in milliseconds at which the first acceptance was received. */
   acceptedAt: number | undefined
-  /** At least one attempt was not refused. */
+  /** Whether at least one attempt to submit the job was not refused. */
   mayRun: boolean
   cancelledAt: number | undefined
 }
 
-/** A whole site on one machine: instances as processes, stand-ins of the platform in this process, and faulty paths between them. */
+/** A complete site on one machine: instances as separate processes, stand-ins of the platform in this process, and faulty paths between them. */
 export class SoakSite implements ClusterView, InstanceObserver {
-  readonly log = new FakeRecordLog(ANSWER_MILLISECONDS)
+  readonly log = new FakeRecordLog(RESPONSE_MILLISECONDS)
   readonly workers = new Map<string, FakeWorker>()
   readonly jobs: SoakJob[] = []
   readonly instances: InstanceProcess[] = []
   readonly checks: SoakChecks
-  /** Faults, and ends of processes. */
+  /** Injected faults and exits of processes, one a line. */
   readonly history: string[] = []
-  private readonly gangs: GangSimulator
-  private readonly standins = new Map<string, WorkerStandin>()
-  private readonly logs: LogStandin[] = []
-  /** Paths by instance and by address of the target. */
+  private readonly gangSimulator: GangSimulator
+  private readonly workerStandins = new Map<string, WorkerStandin>()
+  private readonly logStandins: LogStandin[] = []
+  /** Paths by instance and target address. */
   private readonly paths = new Map<InstanceProcess, Map<string, FaultyPath>>()
-  private readonly disturbedUntil = new Map<InstanceProcess, number>()
+  private readonly unstableUntil = new Map<InstanceProcess, number>()
   private readonly heartbeat = setInterval(() => this.writeRegistry(), HEARTBEAT_MILLISECONDS)
-  private readonly watch = setInterval(() => this.watchSlowness(), WATCH_MILLISECONDS)
-  private watchedAt = performance.now()
-  /** When this process last ran late, as the others on this machine may have. */
+  private readonly latenessCheck = setInterval(() => this.checkLateness(), LATENESS_CHECK_MILLISECONDS)
+  private latenessCheckedAt = performance.now()
+  /** Monotonic time at which this process last ran late, as the other processes on this machine may have done. */
   private slowAt = -Infinity
-  /** Leaves no process behind if this one ends first. */
-  private readonly endProcesses = (): void => { for (const instance of this.instances) instance.kill(0) }
+  /** Kills the instances if this process exits first. */
+  private readonly killInstances = (): void => { for (const instance of this.instances) instance.kill(0) }
   private sequence = 0
 
   constructor (private readonly directory: string) {
     this.checks = new SoakChecks(this)
-    this.gangs = new GangSimulator({ after: (milliseconds, work) => setTimeout(work, milliseconds) }, this, this.checks)
+    this.gangSimulator = new GangSimulator({ after: (milliseconds, work) => setTimeout(work, milliseconds) }, this, this.checks)
     this.log.appendMilliseconds = APPEND_MILLISECONDS
-    process.once('exit', this.endProcesses)
+    process.once('exit', this.killInstances)
   }
 
   async start (instanceCount: number, workerCount: number): Promise<void> {
@@ -83,31 +83,31 @@
     for (let index = 0; index < workerCount; index += 1) await this.addWorker()
     for (const instance of this.instances) {
       for (const other of this.instances) await this.openPath(instance, other.linkAddress)
-      const log = await new LogStandin(this.log, (topic, record) => this.translate(instance, topic, record)).listen()
-      this.logs.push(log)
+      const log = await new LogStandin(this.log, (topic, record) => this.rewriteAddresses(instance, topic, record)).listen()
+      this.logStandins.push(log)
       instance.writeSettings((await this.openPath(instance, log.hostAndPort)).address)
       instance.start()
     }
   }
 
-  /** Waits until every instance is ready for callers; throws if one is not in time. */
+  /** Waits until every instance is ready for callers. Throws if one is not ready in time. */
   async waitUntilReady (milliseconds: number): Promise<void> {
     const http = new HttpCaller(1)
-    const latest = performance.now() + milliseconds
+    const deadline = performance.now() + milliseconds
     for (const { name, readinessAddress } of this.instances) {
       const isReady = async (): Promise<boolean> => {
         const outcome = await http.call(readinessAddress, { method: 'GET', path: '/v1/ready', timeoutMilliseconds: milliseconds })
         return outcome.kind === 'answer' && outcome.status === 200
       }
       while (!await isReady()) {
-        if (performance.now() > latest) throw new Error(`${name} is not ready after ${milliseconds} ms`)
+        if (performance.now() > deadline) throw new Error(`${name} is not ready after ${milliseconds} ms`)
         await delay(READY_POLL_MILLISECONDS)
       }
     }
     http.dispose()
   }
 
-  /** The instance that holds the role of acting scheduler as the log says, or else the first one. */
+  /** The instance that is the active scheduler according to the log, or the first instance if there is none. */
   get activeSchedulerInstance (): InstanceProcess {
     const value = this.log.latestValue(TOPICS.leadership, 'scheduler')
     const name = value === undefined ? undefined : decodeRecord<LeadershipRecord>(value).instance
@@ -120,64 +120,64 @@
   }
 
   async addWorker (): Promise<void> {
-    const identity = `i-${this.standins.size + 1}`
-    const worker = new FakeWorker(identity, ROOM_OF_WORKER, task => this.gangs.membersOf(task).length > 0 ? Infinity : 150 + 350 * (Number(task.at(-1)) % 5))
+    const identity = `i-${this.workerStandins.size + 1}`
+    const worker = new FakeWorker(identity, WORKER_CAPACITY, task => this.gangSimulator.membersOf(task).length > 0 ? Infinity : 150 + 350 * (Number(task.at(-1)) % 5))
     worker.bornAt = Date.now()
-    worker.clockRate = this.standins.size % 2 === 0 ? 1 : SLOW_CLOCK_RATE
-    worker.observer = this.gangs
+    worker.clockRate = this.workerStandins.size % 2 === 0 ? 1 : SLOW_CLOCK_RATE
+    worker.observer = this.gangSimulator
     const standin = await new WorkerStandin(worker).listen()
     for (const instance of this.instances) await this.openPath(instance, standin.hostAndPort)
-    this.standins.set(identity, standin)
+    this.workerStandins.set(identity, standin)
     this.workers.set(identity, worker)
     this.writeRegistry()
   }
 
-  /** The worker's process ends. It starts again under its identity once its paths are open again. */
+  /** Crashes the worker's process and resets its connections. It restarts under the same identity with `startWorker`. */
   crashWorker (worker: FakeWorker): void {
     for (const instance of this.instances) this.setWorkerPath(instance, worker, 'reset')
     worker.restart()
   }
 
-  /** The worker starts again. */
+  /** Restarts a worker after a crash. */
   startWorker (worker: FakeWorker): void {
     worker.restart()
     for (const instance of this.instances) this.setWorkerPath(instance, worker, 'none')
     this.writeRegistry()
   }
 
-  /** The worker ends for good, and another one joins. */
+  /** Removes a worker permanently and adds another one. */
   async replaceWorker (worker: FakeWorker): Promise<void> {
     this.crashWorker(worker)
     this.workers.delete(worker.identity)
-    this.standins.get(worker.identity)?.dispose()
+    this.workerStandins.get(worker.identity)?.dispose()
     this.log.write(WORKER_TOPIC, worker.identity, undefined)
     await this.addWorker()
   }
 
   setLogPath (instance: InstanceProcess, fault: PathFault): void {
-    const log = this.logs[this.instances.indexOf(instance)]
+    const log = this.logStandins[this.instances.indexOf(instance)]
     this.setPath(instance, String(log?.hostAndPort), fault)
   }
 
   setWorkerPath (instance: InstanceProcess, worker: FakeWorker, fault: PathFault): void {
-    this.setPath(instance, String(this.standins.get(worker.identity)?.hostAndPort), fault)
+    this.setPath(instance, String(this.workerStandins.get(worker.identity)?.hostAndPort), fault)
   }
 
   setLinkPath (instance: InstanceProcess, other: InstanceProcess, fault: PathFault): void {
     this.setPath(instance, other.linkAddress, fault)
   }
 
-  /** Notes that instances are out of touch for some time. */
+  /** Marks instances as unstable for the time and the stable window after it. */
   markUnstable (instances: readonly InstanceProcess[], milliseconds: number): void {
-    for (const instance of instances) this.disturbedUntil.set(instance, Math.max(this.disturbedUntil.get(instance) ?? 0, performance.now() + milliseconds + STABLE_WINDOW_MILLISECONDS))
+    for (const instance of instances) this.unstableUntil.set(instance, Math.max(this.unstableUntil.get(instance) ?? 0, performance.now() + milliseconds + STABLE_WINDOW_MILLISECONDS))
   }
 
-  /** Whether an instance and its paths have been without faults for the stable window. */
+  /** Returns whether an instance and its paths have been without faults for the stable window. */
   isStable (instance: InstanceProcess): boolean {
-    return !this.isMachineSlow && performance.now() > (this.disturbedUntil.get(instance) ?? 0)
+    return !this.isMachineSlow && performance.now() > (this.unstableUntil.get(instance) ?? 0)
   }
 
-  /** Whether the machine was too slow, within the stable window, for bounds in time to hold. */
+  /** Whether the machine was too slow for time bounds to hold at some point in the stable window. */
   get isMachineSlow (): boolean {
     return performance.now() < this.slowAt + STABLE_WINDOW_MILLISECONDS
   }
@@ -186,8 +186,8 @@
     this.markUnstable([instance], 0)
   }
 
-  onEnded (instance: InstanceProcess, how: string): void {
-    this.history.push(`${new Date().toISOString()} ${instance.name} ended with ${how}`)
+  onEnded (instance: InstanceProcess, exitStatus: string): void {
+    this.history.push(`${new Date().toISOString()} ${instance.name} ended with ${exitStatus}`)
     this.markUnstable([instance], 0)
   }
 
@@ -201,17 +201,17 @@
 
   async dispose (): Promise<void> {
     clearInterval(this.heartbeat)
-    clearInterval(this.watch)
-    process.off('exit', this.endProcesses)
+    clearInterval(this.latenessCheck)
+    process.off('exit', this.killInstances)
     await Promise.all(this.instances.map(async instance => await instance.close()))
     for (const paths of this.paths.values()) for (const path of paths.values()) path.dispose()
-    for (const standin of [...this.standins.values(), ...this.logs]) standin.dispose()
+    for (const standin of [...this.workerStandins.values(), ...this.logStandins]) standin.dispose()
   }
 
-  private watchSlowness (): void {
+  private checkLateness (): void {
     const now = performance.now()
-    if (now - this.watchedAt > WATCH_MILLISECONDS + SLOW_LATENESS_MILLISECONDS) this.slowAt = now
-    this.watchedAt = now
+    if (now - this.latenessCheckedAt > LATENESS_CHECK_MILLISECONDS + SLOW_LATENESS_MILLISECONDS) this.slowAt = now
+    this.latenessCheckedAt = now
   }
 
   private async openPath (instance: InstanceProcess, target: string): Promise<FaultyPath> {
@@ -224,8 +224,8 @@
     this.paths.get(instance)?.get(target)?.setFault(fault)
   }
 
-  /** Each instance reads the addresses of its own paths. */
-  private translate (instance: InstanceProcess, topic: string, { value }: StoredRecord): Uint8Array | undefined {
+  /** Replaces the addresses in a record by those of the reading instance's paths. */
+  private rewriteAddresses (instance: InstanceProcess, topic: string, { value }: StoredRecord): Uint8Array | undefined {
     const pathTo = (address: string): string => this.paths.get(instance)?.get(address)?.address ?? address
     if (value === undefined) return undefined
     if (topic === WORKER_TOPIC) {
@@ -239,6 +239,6 @@
 
   private writeRegistry (): void {
     this.sequence += 1
-    for (const identity of this.workers.keys()) this.log.write(WORKER_TOPIC, identity, this.standins.get(identity)?.entry(this.sequence))
+    for (const identity of this.workers.keys()) this.log.write(WORKER_TOPIC, identity, this.workerStandins.get(identity)?.entry(this.sequence))
   }
 }
--- a/test/soak/workerStandin.ts
+++ b/test/soak/workerStandin.ts
@@ -4,33 +4,33 @@
 
 const MISDIRECTED: StandinResponse = { status: 421, body: {} }
 
-/** A worker over HTTP. */
+/** Stand-in of a worker over HTTP. */
 export class WorkerStandin extends LoopbackStandin {
   constructor (readonly worker: FakeWorker) {
     super()
   }
 
-  /** The worker's entry in the registry. */
+  /** Returns the worker's encoded entry in the registry. */
   entry (sequence: number): Buffer {
     const { pool, failureDomain, state, processorsThousandths, memoryMegabytes, labels, bornAt } = this.worker.entry
-    const room = { millicpus: processorsThousandths, memMb: memoryMegabytes, gpus: 0 }
-    return Buffer.from(JSON.stringify({ service: pool, addr: this.hostAndPort, zone: failureDomain, state, room, labels, born: bornAt, sequence }))
+    const resources = { millicpus: processorsThousandths, memMb: memoryMegabytes, gpus: 0 }
+    return Buffer.from(JSON.stringify({ service: pool, addr: this.hostAndPort, zone: failureDomain, state, room: resources, labels, born: bornAt, sequence }))
   }
 
   protected override async handle ({ url, headers, body }: StandinRequest): Promise<StandinResponse> {
     const { worker } = this
     if (headers.get('vanillaturn-target-instance') !== worker.identity) return MISDIRECTED
-    const order = JSON.parse(body.toString())
+    const request = JSON.parse(body.toString())
     switch (url.pathname) {
-      case '/v1/hold': return encodeLook(await worker.poll({ term: order.fence, acknowledgedEnd: order.seenUpto, isInSequence: true, leaseUntil: order.expiresAtMs, waitMilliseconds: order.waitMs ?? 0 }), worker.clock)
-      case '/v1/run-start': return encodeOrder(await worker.start({ task: order.task, run: order.run, specification: order.spec, leaseUntil: order.expiresAtMs, term: order.fence, checkpoint: order.checkpointId ?? '', ticket: order.ticket ?? '' }), worker.clock)
-      case '/v1/run-stop': return encodeOrder(await worker.stop(order.task, order.run, order.fence), worker.clock)
+      case '/v1/hold': return encodePollOutcome(await worker.poll({ term: request.fence, acknowledgedEnd: request.seenUpto, isInSequence: true, leaseUntil: request.expiresAtMs, waitMilliseconds: request.waitMs ?? 0 }), worker.clock)
+      case '/v1/run-start': return encodeCommandOutcome(await worker.start({ task: request.task, run: request.run, specification: request.spec, leaseUntil: request.expiresAtMs, term: request.fence, checkpoint: request.checkpointId ?? '', ticket: request.ticket ?? '' }), worker.clock)
+      case '/v1/run-stop': return encodeCommandOutcome(await worker.stop(request.task, request.run, request.fence), worker.clock)
       default: return { status: 404, body: {} }
     }
   }
 }
 
-function encodeLook (outcome: PollOutcome, clockMs: number): StandinResponse {
+function encodePollOutcome (outcome: PollOutcome, clockMs: number): StandinResponse {
   switch (outcome.kind) {
     case 'report': {
       const { clockMilliseconds, bornAt, running, ended } = outcome.report
@@ -48,7 +48,7 @@
   }
 }
 
-function encodeOrder (outcome: CommandOutcome, clockMs: number): StandinResponse {
+function encodeCommandOutcome (outcome: CommandOutcome, clockMs: number): StandinResponse {
   switch (outcome.kind) {
     case 'done': return { status: 200, body: { clockMs } }
     case 'fenced': return { status: 409, body: { clockMs, reason: 'fence' } }
