--- a/test/importGraph.test.ts
+++ b/test/importGraph.test.ts
@@ -6,7 +6,7 @@
 const ROOTS = ['src', 'platform'] as const
 const IMPORT = /^(?:import|export)\s[^'"]*from\s+'(\.[^']*)\.js'|^import\s+'(\.[^']*)\.js'/gm
 
-/** Files that each source file imports, types included. */
+/** Returns the files that each source file imports, including type imports. */
 function readGraph (): Map<string, string[]> {
   const graph = new Map<string, string[]>()
   for (const root of ROOTS) {
@@ -20,29 +20,29 @@
   return graph
 }
 
-/** One circle as a list of files, or undefined if there is none. */
-function findCircle (graph: ReadonlyMap<string, readonly string[]>): string[] | undefined {
+/** Returns one import cycle as a list of files, or undefined if there is none. */
+function findCycle (graph: ReadonlyMap<string, readonly string[]>): string[] | undefined {
   const done = new Set<string>()
   const visit = (file: string, path: readonly string[]): string[] | undefined => {
     const start = path.indexOf(file)
     if (start >= 0) return [...path.slice(start), file]
     if (done.has(file)) return undefined
     for (const next of graph.get(file) ?? []) {
-      const circle = visit(next, [...path, file])
-      if (circle !== undefined) return circle
+      const cycle = visit(next, [...path, file])
+      if (cycle !== undefined) return cycle
     }
     done.add(file)
     return undefined
   }
   for (const file of graph.keys()) {
-    const circle = visit(file, [])
-    if (circle !== undefined) return circle
+    const cycle = visit(file, [])
+    if (cycle !== undefined) return cycle
   }
   return undefined
 }
 
 describe('import graph', () => {
-  it('is read whole', () => {
+  it('includes every imported file', () => {
     const graph = readGraph()
     assert.ok(graph.get('platform/main.ts')?.includes('src/cluster/clusterInstance.ts'))
     for (const [file, imports] of graph) {
@@ -50,11 +50,11 @@
     }
   })
 
-  it('finds a circle where there is one', () => {
-    assert.deepEqual(findCircle(new Map([['a', ['b']], ['b', ['c']], ['c', ['b']]])), ['b', 'c', 'b'])
+  it('finds a cycle where there is one', () => {
+    assert.deepEqual(findCycle(new Map([['a', ['b']], ['b', ['c']], ['c', ['b']]])), ['b', 'c', 'b'])
   })
 
-  it('has no circles', () => {
-    assert.equal(findCircle(readGraph())?.join(' -> '), undefined)
+  it('has no cycles', () => {
+    assert.equal(findCycle(readGraph())?.join(' -> '), undefined)
   })
 })
