--- a/features/steps/serving.steps.ts
+++ b/features/steps/serving.steps.ts
@@ -20,7 +20,7 @@
 }
 
 function instanceOf (site: FakeSite, name: string): StartedInstance {
-  const instance = site.current.get(name)
+  const instance = site.instances.get(name)
   assert.ok(instance, name)
   return instance
 }
@@ -32,7 +32,7 @@
 
 Given('a site with the failure domains gent-a and gent-b', async function (this: ServingWorld) {
   this.site = new FakeSite({ seed: 1 }, watch)
-  await this.site.begin()
+  await this.site.start()
 })
 
 After(async function (this: ServingWorld, { result }) {
@@ -100,11 +100,11 @@
 
 When('all entry instances crash and restart', function (this: ServingWorld) {
   const site = siteOf(this)
-  for (const instance of [...site.current.values()]) site.restart(instance)
+  for (const instance of [...site.instances.values()]) site.restart(instance)
 })
 
 Then('the text of the first operator is in force everywhere as revision 2', function (this: ServingWorld) {
-  for (const { name, entry } of siteOf(this).alive()) {
+  for (const { name, entry } of siteOf(this).runningInstances()) {
     const current = entry.components.configuration.inForce
     assert.deepEqual([current?.revision, current?.source], [2, this.texts[0]], name)
   }
@@ -123,7 +123,7 @@
 })
 
 Then(/^(\S+) has stopped without cutting off a request$/, function (this: ServingWorld, name: string) {
-  const { stoppedAt, cutOff } = instanceOf(siteOf(this), name)
+  const { stoppedAt, interruptedRequests: cutOff } = instanceOf(siteOf(this), name)
   assert.notEqual(stoppedAt, undefined)
   assert.equal(cutOff, 0)
 })
@@ -139,7 +139,7 @@
 
 // The append may have taken effect although its answer never came, so neither notRun nor an acceptance would be true.
 Then('the job is answered mayHaveRun with its identity', function (this: ServingWorld) {
-  const answer = siteOf(this).jobs[0]?.answer
+  const answer = siteOf(this).jobs[0]?.result
   assert.equal(answer?.kind === 'error' ? answer.error.verdict : answer?.kind, 'mayHaveRun')
   assert.match(answer?.kind === 'error' && answer.error.code === 'outcomeUnknown' ? answer.error.job ?? '' : '', /^gent-[ab]\./)
 })
@@ -147,13 +147,13 @@
 Then('each failure domain has one owner', function (this: ServingWorld) {
   const site = siteOf(this)
   for (const domain of site.failureDomains) {
-    assert.equal(site.alive().filter(({ failureDomain, entry }) => failureDomain === domain && entry.components.ownership.isOwner()).length, 1, domain)
+    assert.equal(site.runningInstances().filter(({ failureDomain, entry }) => failureDomain === domain && entry.components.ownership.isOwner()).length, 1, domain)
   }
 })
 
 Then('every accepted job has ended', function (this: ServingWorld) {
   const site = siteOf(this)
-  assert.ok(site.jobs.some(({ answer }) => answer?.kind === 'accepted'))
+  assert.ok(site.jobs.some(({ result: answer }) => answer?.kind === 'accepted'))
   assert.deepEqual(NoAcceptedJobLost(site), [])
   assert.equal([...site.workers.values()].flatMap(worker => worker.running).length, 0)
 })
--- a/test/cluster/activeScheduler.test.ts
+++ b/test/cluster/activeScheduler.test.ts
@@ -11,7 +11,7 @@
 import type { ClusterConfiguration } from '../../src/contracts/clusterConfiguration.js'
 import { encodeRecord } from '../../src/contracts/clusterRecords.js'
 import { stepJobSchema } from '../../src/contracts/stepJob.js'
-import { FakeWorker, FakeWorkerPort, type OrderFault } from '../fakes/fakeClusterWorkers.js'
+import { FakeWorker, FakeWorkerPort, type CommandFault } from '../fakes/fakeClusterWorkers.js'
 import { FakeRecordLog, type LogFault } from '../fakes/fakeRecordLog.js'
 import { itUnlessKnownRed } from '../knownRed.js'
 
@@ -98,7 +98,7 @@
   }
 
   /** Commands of unknown outcome: the state of the run is determined before its capacity or its task is used again. */
-  const ORDER_FAULTS: readonly OrderFault[] = ['answerLost', 'notDelivered', 'late', 'unhealthy']
+  const ORDER_FAULTS: readonly CommandFault[] = ['answerLost', 'notDelivered', 'late', 'unhealthy']
   for (const fault of ORDER_FAULTS) {
     it(`neither overcommits nor runs a task twice after commands with fault ${fault}`, async () => await withSite(async (site, start) => {
       const workers = ['w1', 'w2'].map(name => site.port.add(new FakeWorker(name, 1, () => 5000)))
@@ -193,14 +193,14 @@
       const worker = site.port.add(new FakeWorker('w1', 1, () => 1000))
       const former = start(1)
       await site.clock.tickAsync(100)
-      site.log.answerMilliseconds = 200
+      site.log.responseMilliseconds = 200
       submit(site.log, JOB, [step(), step({ after: [0] })])
       while (!hasHappened(site, worker)) {
         await site.clock.tickAsync(10)
         if (worker.started.length > 0) former.dispose()
       }
       former.dispose()
-      site.log.answerMilliseconds = 5
+      site.log.responseMilliseconds = 5
       worker.state = 'draining'
       worker.isReachable = isWorkerSilent !== true
       const successor = start(2)
@@ -317,7 +317,7 @@
     await site.clock.tickAsync(3000)
     assert.equal(scheduler.stateOf('00000000000000bb'), 'completed')
     assert.deepEqual(worker.started, ['00000000000000bb.0.0.0/1'])
-    assert.equal(worker.stops, 0)
+    assert.equal(worker.stopCount, 0)
   }))
 
   /** A former scheduler continues to place jobs until it is fenced, including jobs that its successor has not read yet. */
@@ -332,7 +332,7 @@
     site.log.appendMilliseconds = 0
     await site.clock.tickAsync(6000)
     assert.deepEqual(worker.started, [`${JOB}.0.0.0/1`])
-    assert.equal(worker.stops, 0)
+    assert.equal(worker.stopCount, 0)
     assert.equal(successor.stateOf(JOB), 'completed')
   }))
 
@@ -447,13 +447,13 @@
     site.log.write(TOPICS.submissions, cancelKey(JOB), Buffer.from([1]))
     await site.clock.tickAsync(100)
     former.dispose()
-    worker.looks = 0
-    worker.stops = 0
+    worker.pollCount = 0
+    worker.stopCount = 0
     start(2)
     await site.clock.tickAsync(3000)
     assert.equal(worker.running.size, 0)
-    assert.equal(worker.stops, 1)
-    assert.ok(worker.looks < 40, `${worker.looks} polls`)
+    assert.equal(worker.stopCount, 1)
+    assert.ok(worker.pollCount < 40, `${worker.pollCount} polls`)
   }))
 
   it('stops the runs of a cancelled job and shows it as cancelled', async () => await withSite(async (site, start) => {
@@ -487,13 +487,13 @@
 
   /** Until an end is acknowledged, the worker responds to every poll at once with it, and each poll costs processor time on both sides. */
   it('polls again only once the log holds the ends reported by a poll', async () => await withSite(async (site, start) => {
-    site.log.answerMilliseconds = 130
+    site.log.responseMilliseconds = 130
     const worker = site.port.add(new FakeWorker('w1', 1, () => 500))
     const scheduler = start(1)
     submit(site.log, JOB, [step({ count: 10 })])
     await site.clock.tickAsync(15_000)
     assert.equal(scheduler.stateOf(JOB), 'completed')
-    assert.ok(worker.looks <= 3 * 10, `${worker.looks} polls`)
+    assert.ok(worker.pollCount <= 3 * 10, `${worker.pollCount} polls`)
   }))
 
   it('returns no number of waiting jobs while submissions cannot be read', async () => await withSite(async (site, start) => {
@@ -521,7 +521,7 @@
   }))
 
   it('shows a job as completed only once the log holds it, while the log is available', async () => await withSite(async (site, start) => {
-    site.log.answerMilliseconds = 150
+    site.log.responseMilliseconds = 150
     const worker = site.port.add(new FakeWorker('w1', 1, () => 1000))
     const scheduler = start(1)
     submit(site.log, JOB, [step()])
--- a/test/entry/ownershipTask.test.ts
+++ b/test/entry/ownershipTask.test.ts
@@ -10,12 +10,12 @@
 
 /** Each of these restarts left a failure domain without an owner forever, because the instance list still contained the names of the previous incarnations. */
 const RESTARTS: ReadonlyArray<{ readonly name: string, readonly perform: (site: FakeSite) => void }> = [
-  { name: 'all instances restart at once', perform: site => { for (const instance of [...site.current.values()]) site.restart(instance) } },
+  { name: 'all instances restart at once', perform: site => { for (const instance of [...site.instances.values()]) site.restart(instance) } },
   {
     name: 'all instances crash and then restart one after the other',
     perform: site => {
-      for (const instance of [...site.current.values()]) site.crash(instance)
-      for (const instance of [...site.current.values()]) site.restart(instance)
+      for (const instance of [...site.instances.values()]) site.crash(instance)
+      for (const instance of [...site.instances.values()]) site.restart(instance)
     }
   }
 ]
@@ -35,16 +35,16 @@
   for (const milliseconds of PARTITION_MILLISECONDS) {
     it(`a successor that is cut off from the log for ${milliseconds} ms acts as owner afterwards`, async () => {
       await prove({ seed: 0 }, async site => {
-        const elector = site.alive().find(({ entry, failureDomain }) => failureDomain === 'gent-a' && !entry.components.ownership.isOwner())
+        const elector = site.runningInstances().find(({ entry, failureDomain }) => failureDomain === 'gent-a' && !entry.components.ownership.isOwner())
         elector?.process.pause()
         await site.advance(5000)
-        elector?.process.wake()
+        elector?.process.resume()
         await site.advance(50)
         site.network.cut('gent-a', PLATFORM)
         await site.advance(milliseconds)
         elector?.process.pause()
         await site.advance(1000)
-        elector?.process.wake()
+        elector?.process.resume()
         site.network.heal()
         await site.advance(2 * TAKEOVER_MILLISECONDS)
         assertOneOwnerEach(site)
@@ -55,7 +55,7 @@
 
 function assertOneOwnerEach (site: FakeSite): void {
   for (const failureDomain of site.failureDomains) {
-    const owners = site.alive().filter(instance => instance.failureDomain === failureDomain && instance.entry.components.ownership.isOwner())
+    const owners = site.runningInstances().filter(instance => instance.failureDomain === failureDomain && instance.entry.components.ownership.isOwner())
     assert.equal(owners.length, 1, failureDomain)
   }
 }
--- a/test/fuzz/clusterFuzzer.ts
+++ b/test/fuzz/clusterFuzzer.ts
@@ -52,7 +52,7 @@
 }
 
 function schedulerAt (cluster: FakeCluster, position: number): StartedScheduler | undefined {
-  return cluster.active.at(-1 - position % Math.max(1, cluster.active.length))
+  return cluster.runningSchedulers.at(-1 - position % Math.max(1, cluster.runningSchedulers.length))
 }
 
 function workerAt (cluster: FakeCluster, position: number): FakeWorker {
@@ -70,7 +70,7 @@
   { weight: 3, arbitrary: command('takeOver', [fc.constantFrom<PathFault>('none', 'none', 'slow')], (cluster, logFault) => { cluster.startScheduler(logFault) }) },
   { weight: 1, arbitrary: command('crashScheduler', [index], (cluster, position) => withScheduler(cluster, position, scheduler => cluster.crashScheduler(scheduler))) },
   { weight: 2, arbitrary: command('pauseScheduler', [index], (cluster, position) => withScheduler(cluster, position, scheduler => scheduler.process.pause())) },
-  { weight: 3, arbitrary: command('wakeSchedulers', [], cluster => { for (const scheduler of cluster.schedulers) scheduler.process.wake() }) },
+  { weight: 3, arbitrary: command('wakeSchedulers', [], cluster => { for (const scheduler of cluster.schedulers) scheduler.process.resume() }) },
   { weight: 3, arbitrary: command('logFault', [index, fc.constantFrom(...PATH_FAULTS)], (cluster, position, fault) => withScheduler(cluster, position, scheduler => { scheduler.log.fault = fault })) },
   {
     weight: 5,
@@ -80,7 +80,7 @@
   {
     weight: 1,
     arbitrary: command('replaceWorker', [index], (cluster, worker) => {
-      cluster.loseWorker(workerAt(cluster, worker))
+      cluster.removeWorker(workerAt(cluster, worker))
       cluster.addWorker()
     })
   },
--- a/test/fuzz/clusterOracle.ts
+++ b/test/fuzz/clusterOracle.ts
@@ -1,5 +1,5 @@
 import type { EndReport } from '../../src/cluster/workerPort.js'
-import { ATTEMPTS, type ClusterView, type FakeCluster, type SubmittedStepJob } from '../fakes/fakeCluster.js'
+import { MAXIMUM_ATTEMPTS, type ClusterView, type FakeCluster, type SubmittedStepJob } from '../fakes/fakeCluster.js'
 import type { FakeWorker, FakeWorkerObserver } from '../fakes/fakeClusterWorkers.js'
 
 /** An end of a run as its worker keeps it. */
@@ -48,13 +48,13 @@
       const present = other.running.get(task)
       if (present !== undefined) this.note(`RunsOnce: ${start} was started while run ${present.run} was on ${other.identity}`)
     }
-    if (worker.running.size >= worker.room) this.note(`WithinRoom: ${start} was started beside ${worker.running.size} others`)
+    if (worker.running.size >= worker.capacity) this.note(`WithinRoom: ${start} was started beside ${worker.running.size} others`)
     for (const end of this.done.get(task) ?? []) {
       if (end.isAcknowledged) this.note(`RunsOnce: ${start} was started after the end of run ${end.run} was acknowledged`)
       end.startedAfter ??= start
     }
     if (this.shown.has(jobOf(task))) this.note(`RunsOnce: ${start} was started after its job had been shown as completed`)
-    if ((this.failures.get(task) ?? 0) >= ATTEMPTS) this.note(`WithinAttempts: ${start} was started after ${ATTEMPTS} failed runs`)
+    if ((this.failures.get(task) ?? 0) >= MAXIMUM_ATTEMPTS) this.note(`WithinAttempts: ${start} was started after ${MAXIMUM_ATTEMPTS} failed runs`)
     this.checkOrder(task, start)
   }
 
@@ -64,7 +64,7 @@
     this.done.set(end.task, [...this.done.get(end.task) ?? [], known])
   }
 
-  onDidForget (worker: FakeWorker, end: EndReport): void {
+  onDidAcknowledgeEnd (worker: FakeWorker, end: EndReport): void {
     if (end.kind === 'failed') this.failures.set(end.task, (this.failures.get(end.task) ?? 0) + 1)
     const known = this.done.get(end.task)?.find(candidate => candidate.worker === worker.identity && candidate.bornAt === worker.bornAt && candidate.number === end.number)
     // A lease that ended in between makes the end uncertain for good.
@@ -75,9 +75,9 @@
 
   /** What must hold once all faults are over and enough time has passed. */
   checkEnd (cluster: FakeCluster): void {
-    const scheduler = cluster.active.at(-1)
+    const scheduler = cluster.runningSchedulers.at(-1)
     for (const job of cluster.jobs) {
-      const state = scheduler?.acting.stateOf(job.identity)
+      const state = scheduler?.activeScheduler.stateOf(job.identity)
       if (!this.expectedStates(job).includes(String(state))) this.note(`NoJobLost: ${job.identity} is ${state} in the end`)
     }
     this.checkNothingLeft(cluster)
@@ -100,12 +100,12 @@
   expectedStates (job: SubmittedStepJob): string[] {
     const expected = ['completed']
     if (job.isCancelled) expected.push('cancelled')
-    if ([...this.failures].some(([task, count]) => task.startsWith(`${job.identity}.`) && count >= ATTEMPTS)) expected.push('failed')
+    if ([...this.failures].some(([task, count]) => task.startsWith(`${job.identity}.`) && count >= MAXIMUM_ATTEMPTS)) expected.push('failed')
     return expected
   }
 
   private checkStates (cluster: FakeCluster): void {
-    for (const { process, acting, term } of cluster.active) {
+    for (const { process, activeScheduler: acting, term } of cluster.runningSchedulers) {
       if (process.isPaused) continue
       for (const job of cluster.jobs) {
         if (acting.stateOf(job.identity) !== 'completed') continue
--- a/test/fuzz/commands.ts
+++ b/test/fuzz/commands.ts
@@ -84,11 +84,11 @@
         const { process } = site.instanceAt(instance)
         process.pause()
         await site.advance(milliseconds)
-        process.wake()
+        process.resume()
       })
     },
     { weight: 1, arbitrary: command('pauseInstance', [index], (site, instance) => site.instanceAt(instance).process.pause()) },
-    { weight: 1, arbitrary: command('wakeAll', [], site => { for (const { process } of site.alive()) process.wake() }) },
+    { weight: 1, arbitrary: command('wakeAll', [], site => { for (const { process } of site.runningInstances()) process.resume() }) },
     { weight: 1, arbitrary: command('cutFromPlatform', [index], (site, domain) => site.network.cut(at(site.failureDomains, domain), PLATFORM)) },
     { weight: 2, arbitrary: command('cutInstanceFromPlatform', [index], (site, instance) => site.network.cut(site.instanceAt(instance).name, PLATFORM)) },
     { weight: 1, arbitrary: command('cutDomains', [], site => site.network.cut('gent-a', 'gent-b')) },
@@ -101,10 +101,10 @@
     { weight: 2, arbitrary: command('healNetwork', [], site => site.network.heal()) },
     { weight: 1, arbitrary: command('logDown', [fc.boolean()], (site, down) => { site.log.down = down }) },
     { weight: 1, arbitrary: command('logSlow', [fc.constantFrom(0, 200, 2500)], (site, milliseconds) => { site.log.slowMilliseconds = milliseconds }) },
-    { weight: 2, arbitrary: command('loseLogAnswers', [fc.constantFrom(1, 3)], (site, count) => { site.log.answersToLose += count }) },
+    { weight: 2, arbitrary: command('loseLogAnswers', [fc.constantFrom(1, 3)], (site, count) => { site.log.responsesToLose += count }) },
     { weight: 1, arbitrary: command('links', [fc.constantFrom(0, 20), fc.constantFrom(0, 30), fc.constantFrom(0, 400)], (site, dropPercent, duplicatePercent, reorderMilliseconds) => { Object.assign(site.fabric, { dropPercent, duplicatePercent, reorderMilliseconds }) }) },
     { weight: 1, arbitrary: command('workerSilent', [index, fc.boolean()], (site, worker, silent) => { at(site.workers.values(), worker).silent = silent }) },
-    { weight: 2, arbitrary: command('loseWorkerAnswers', [index, fc.constantFrom(1, 3)], (site, worker, count) => { at(site.workers.values(), worker).answersToLose += count }) },
+    { weight: 2, arbitrary: command('loseWorkerAnswers', [index, fc.constantFrom(1, 3)], (site, worker, count) => { at(site.workers.values(), worker).responsesToLose += count }) },
     { weight: 1, arbitrary: command('workerFails', [index, fc.boolean()], (site, worker, fails) => { at(site.workers.values(), worker).failsEverything = fails }) },
     { weight: 2, arbitrary: command('leaving', [index, fc.boolean()], (site, machine, leaving) => site.listMachine(at([...site.executors.keys(), ...site.workers.keys()], machine), leaving ? 'leaving' : 'live')) }
   ]
--- a/test/fuzz/oracle.ts
+++ b/test/fuzz/oracle.ts
@@ -71,7 +71,7 @@
   for (const [name, leavingSince] of site.directory.leavingSince) {
     const arrivals = site.executors.get(name)?.arrivals ?? site.workers.get(name)?.intervals.map(({ startedBy, startedAt }) => ({ from: startedBy, at: startedAt })) ?? []
     for (const { from, at } of arrivals) {
-      const visibleSince = Math.max(leavingSince, from.wokeAt, site.network.openSince(from.failureDomain, PLATFORM), site.network.openSince(from.name, PLATFORM))
+      const visibleSince = Math.max(leavingSince, from.resumedAt, site.network.openSince(from.failureDomain, PLATFORM), site.network.openSince(from.name, PLATFORM))
       if (at > visibleSince + LEAVING_BOUND_MILLISECONDS + MESSAGE_MILLISECONDS) problems.push(`${name} received work of ${from.name} ${Math.round(at - visibleSince)} ms after its leaving could be seen`)
     }
   }
@@ -81,8 +81,8 @@
 /** A request of an instance that stopped as planned is answered whole, or as the fault of its executor or its deadline demands. */
 export function GracefulStop (site: FakeSite): string[] {
   const problems: string[] = []
-  for (const instance of site.started.filter(({ stopBeganAt, process }) => stopBeganAt !== undefined && !process.isCrashed)) {
-    if (instance.cutOff > 0) problems.push(`${instance.incarnation} cut off ${instance.cutOff} requests`)
+  for (const instance of site.startedInstances.filter(({ stopStartedAt: stopBeganAt, process }) => stopBeganAt !== undefined && !process.isCrashed)) {
+    if (instance.interruptedRequests > 0) problems.push(`${instance.incarnation} cut off ${instance.interruptedRequests} requests`)
     if (instance.stoppedAt === undefined) continue
     for (const request of site.requests) {
       if (request.instance !== instance || wasDisturbed(site, request)) continue
@@ -95,8 +95,8 @@
 
 /** A planned stop ends within its time bound; a pause is not counted. */
 export function StopEndsInTime (site: FakeSite): string[] {
-  return site.started.filter(({ stoppedAt, process }) => stoppedAt === undefined && !process.isCrashed && !process.isPaused)
-    .filter(({ stopBeganAt, process }) => stopBeganAt !== undefined && performance.now() > Math.max(stopBeganAt, process.wokeAt) + STOP_BOUND_MILLISECONDS + STOP_MARGIN_MILLISECONDS)
+  return site.startedInstances.filter(({ stoppedAt, process }) => stoppedAt === undefined && !process.isCrashed && !process.isPaused)
+    .filter(({ stopStartedAt: stopBeganAt, process }) => stopBeganAt !== undefined && performance.now() > Math.max(stopBeganAt, process.resumedAt) + STOP_BOUND_MILLISECONDS + STOP_MARGIN_MILLISECONDS)
     .map(({ incarnation }) => `${incarnation} has not stopped`)
 }
 
@@ -104,7 +104,7 @@
 export function ConfigurationNeverReverts (site: FakeSite): string[] {
   const decided = decidedTexts(site)
   const problems: string[] = []
-  for (const instance of site.alive()) {
+  for (const instance of site.runningInstances()) {
     const current = instance.entry.components.configuration.inForce
     const revision = current?.revision ?? 0
     if (revision < instance.highestRevision) problems.push(`${instance.incarnation} went from revision ${instance.highestRevision} to ${revision}`)
@@ -117,7 +117,7 @@
 /** Checked at the end: with all faults healed, the decided text is in force everywhere. */
 export function ConfigurationInForceEverywhere (site: FakeSite): string[] {
   const { length } = decidedTexts(site)
-  return site.alive().filter(({ entry }) => entry.components.configuration.inForce?.revision !== length)
+  return site.runningInstances().filter(({ entry }) => entry.components.configuration.inForce?.revision !== length)
     .map(({ incarnation, entry }) => `${incarnation} has revision ${entry.components.configuration.inForce?.revision ?? 0} in force, not ${length}`)
 }
 
@@ -130,9 +130,9 @@
 
 /** Checked at the end: every accepted job has ended by the log, or all its tasks run. */
 export function NoAcceptedJobLost (site: FakeSite): string[] {
-  return site.jobs.flatMap(({ answer, name, kind, failureDomain }) => {
+  return site.jobs.flatMap(({ result: answer, name, kind, failureDomain }) => {
     if (answer?.kind !== 'accepted') return []
-    const ended = site.log.all(`jobs.${failureDomain}`).some(({ body }) => (body as { type: string, job: unknown }).type === 'jobEnded' && (body as { job: unknown }).job === answer.job)
+    const ended = site.log.recordsOf(`jobs.${failureDomain}`).some(({ body }) => (body as { type: string, job: unknown }).type === 'jobEnded' && (body as { job: unknown }).job === answer.job)
     const running = [...site.workers.values()].flatMap(worker => worker.running).filter(({ task }) => task.startsWith(`${answer.job}#`)).length
     return ended || running > 0 ? [] : [`${name} (${kind}) has neither ended nor does it run`]
   })
@@ -140,9 +140,9 @@
 
 /** Every request of an instance that has not crashed is answered by its deadline, or soon after the instance woke. */
 export function EveryRequestAnswered (site: FakeSite): string[] {
-  return site.requests.flatMap(({ submission, instance: { process }, deadline, outcome, answeredAt }) => {
+  return site.requests.flatMap(({ submission, instance: { process }, deadline, outcome, endedAt: answeredAt }) => {
     if (process.isCrashed || process.isPaused) return []
-    const latest = Math.max(deadline, process.wokeAt) + ANSWER_MARGIN_MILLISECONDS
+    const latest = Math.max(deadline, process.resumedAt) + ANSWER_MARGIN_MILLISECONDS
     const at = outcome === undefined ? performance.now() : answeredAt ?? 0
     return at > latest ? [`${submission} ${outcome === undefined ? 'has no answer' : 'was answered'} ${Math.round(at - deadline)} ms after its deadline`] : []
   })
@@ -160,13 +160,13 @@
 export function watch (site: FakeSite): void {
   for (const [name, check] of Object.entries({ WorkerNeverOvercommitted, ConfigurationNeverReverts })) {
     const [problem] = check(site)
-    if (problem !== undefined && !site.noticed.has(name)) site.noticed.set(name, problem)
+    if (problem !== undefined && !site.detectedProblems.has(name)) site.detectedProblems.set(name, problem)
   }
 }
 
 /** Throws an error that starts with the name of the first violated check. */
 export function assertChecks (site: FakeSite, checks: Readonly<Record<string, Check>> = CHECKS): void {
-  const [noticed] = site.noticed
+  const [noticed] = site.detectedProblems
   if (noticed !== undefined) throw new Error(noticed.join(': '))
   for (const [name, check] of Object.entries(checks)) {
     const [problem] = check(site)
@@ -177,7 +177,7 @@
 /** Texts that the log has decided, by the rule of the design page: a record whose base is the current revision becomes the next. */
 function decidedTexts (site: FakeSite): string[] {
   const texts: string[] = []
-  for (const { body } of site.log.all(CONFIGURATION_STREAM)) {
+  for (const { body } of site.log.recordsOf(CONFIGURATION_STREAM)) {
     const publish = body as { type: string, baseRevision: number, text: string }
     if (publish.type === 'configurationPublished' && publish.baseRevision === texts.length) texts.push(publish.text)
   }
--- a/test/platform/callerServer.test.ts
+++ b/test/platform/callerServer.test.ts
@@ -43,8 +43,8 @@
     const caller = new RawCaller(this.port)
     this.callers.push(caller)
     caller.write(GET)
-    await untilTrue(() => caller.text.includes('"waiting":3'))
-    caller.text = ''
+    await untilTrue(() => caller.received.includes('"waiting":3'))
+    caller.received = ''
     return caller
   }
 
@@ -62,7 +62,7 @@
 /** Asserts that a connection is closed in an orderly way after responses with these statuses, and that only the last one announces the close. */
 async function assertClosedAfter (caller: RawCaller, statuses: readonly number[]): Promise<void> {
   await untilTrue(() => caller.ended !== 'no')
-  assert.deepEqual({ statuses: caller.statuses, closings: caller.closings, ended: caller.ended }, { statuses, closings: 1, ended: 'orderly' })
+  assert.deepEqual({ statuses: caller.statuses, closings: caller.closeHeaderCount, ended: caller.ended }, { statuses, closings: 1, ended: 'orderly' })
 }
 
 /** Each case guards against a graceful shutdown that drops a request which the process has read or the kernel has accepted. */
@@ -129,7 +129,7 @@
       fixture.server.prepareStop(performance.now() + 50)
       caller.write(post('00000000000000aa').slice(0, -2))
       await assertClosedAfter(caller, [503])
-      assert.match(caller.text, /\r\nretry-after: 1\r\n/)
+      assert.match(caller.received, /\r\nretry-after: 1\r\n/)
       assert.equal(fixture.pendingSubmits.length, 0)
     }
   }
--- a/test/platform/gracefulShutdown.test.ts
+++ b/test/platform/gracefulShutdown.test.ts
@@ -93,7 +93,7 @@
       instance.process.kill('SIGTERM')
       const [status] = await exited
       await callers.stop()
-      const { brokenKept, brokenFresh, errors } = callers.counts
+      const { brokenOnReusedConnection: brokenKept, brokenOnNewConnection: brokenFresh, errors } = callers.counts
       assert.deepEqual({ brokenKept, brokenFresh, errors }, { brokenKept: 0, brokenFresh: 0, errors: {} })
       assert.equal(status, 0)
     } finally {
