--- a/test/fuzz/clusterFuzz.test.ts
+++ b/test/fuzz/clusterFuzz.test.ts
@@ -26,7 +26,7 @@
   for (const { name, checks, seed, runs, plant } of PLANTED_CLUSTER_FAULTS) {
     if (runs > MOST_RUNS_FOR_A_FAULT) continue
     it(`finds the planted fault: ${name} (seed ${seed}, ${runs} runs)`, async () => {
-      const failure = await fuzzCluster({ seed, runs, shrink: false, plant })
+      const failure = await fuzzCluster({ seed, runs, shrink: false, injectFault: plant })
       assert.ok(failure !== undefined && checks.some(check => failure.problem.startsWith(check)), failure?.problem)
     })
   }
--- a/test/fuzz/faults.ts
+++ b/test/fuzz/faults.ts
@@ -86,14 +86,14 @@
     checks: ['WorkerNeverOvercommitted', 'TaskNeverInTwoPlaces'],
     seed: 1,
     runs: 100,
-    options: { plant: replace(Scheduler, 'onStartOutcome', (original, _self, task, attempt, outcome, now) => original(task, attempt, outcome === 'unknown' ? 'notSent' : outcome, now)) }
+    options: { injectFault: replace(Scheduler, 'onStartOutcome', (original, _self, task, attempt, outcome, now) => original(task, attempt, outcome === 'unknown' ? 'notSent' : outcome, now)) }
   },
   {
     name: 'worker accounting ignores memory and processors',
     checks: ['WorkerNeverOvercommitted'],
     seed: 1,
     runs: 1,
-    options: { plant: replace(Worker, 'adopt', (original, _self, task, job, attempt, resources, ...rest) => original(task, job, attempt, { ...resources as object, processorsThousandths: 0 }, ...rest)) }
+    options: { injectFault: replace(Worker, 'adopt', (original, _self, task, job, attempt, resources, ...rest) => original(task, job, attempt, { ...resources as object, processorsThousandths: 0 }, ...rest)) }
   },
   {
     name: 'the lease is counted from when its renewal was read and lasts 20 s',
@@ -101,7 +101,7 @@
     seed: 4,
     runs: 100,
     options: {
-      plant: replace(Ownership, 'onRenewal', (original, self, ...given) => {
+      injectFault: replace(Ownership, 'onRenewal', (original, self, ...given) => {
         original(...given)
         const rules = self as unknown as { holdsTerm: () => boolean, leaseUntil: number }
         if (rules.holdsTerm()) rules.leaseUntil = (given[given.length - 1] as number) + 20_000
@@ -113,14 +113,14 @@
     checks: ['TaskNeverInTwoPlaces', 'WorkerNeverOvercommitted'],
     seed: 1,
     runs: 100,
-    options: { plant: replace(Scheduler, 'inventoryComplete', () => true) }
+    options: { injectFault: replace(Scheduler, 'inventoryComplete', () => true) }
   },
   {
     name: 'a request that may have run is sent again although it is not idempotent',
     checks: ['NonIdempotentAtMostOnce'],
     seed: 11,
     runs: 1,
-    options: { plant: replace(RequestDispatcher, 'mayRetry', (original, _self, pending, failed) => original(pending, { ...failed as object, retryable: true, sent: false })) }
+    options: { injectFault: replace(RequestDispatcher, 'mayRetry', (original, _self, pending, failed) => original(pending, { ...failed as object, retryable: true, sent: false })) }
   },
   { name: 'answers are swapped between two requests', checks: ['WholeOwnAnswer'], seed: 1, runs: 1, options: { wrapConnections: swapBodies() } },
   { name: 'a truncated body is passed as complete', checks: ['WholeOwnAnswer'], seed: 2, runs: 1, options: { wrapConnections: completeCutBodies() } },
@@ -137,7 +137,7 @@
     seed: 1,
     runs: 2,
     options: {
-      plant: replaceGetter(RequestDispatcher, 'activeRequests', () => 0)
+      injectFault: replaceGetter(RequestDispatcher, 'activeRequests', () => 0)
     }
   },
   {
@@ -145,14 +145,14 @@
     checks: ['ExecutorSlotsNeverExceeded'],
     seed: 1,
     runs: 100,
-    options: { plant: replace(SlotHolder, 'free', (original, _self, executor) => original(executor, -Infinity)) }
+    options: { injectFault: replace(SlotHolder, 'free', (original, _self, executor) => original(executor, -Infinity)) }
   },
   {
     name: 'a slot is released when its request times out',
     checks: ['ExecutorSlotsNeverExceeded'],
     seed: 1,
     runs: 100,
-    options: { plant: replace(RequestSender, 'releaseAfterRun', (_original, self, _pending, executor) => { self.release?.(executor) }) }
+    options: { injectFault: replace(RequestSender, 'releaseAfterRun', (_original, self, _pending, executor) => { self.release?.(executor) }) }
   },
   {
     name: 'the publish record that was read last wins',
@@ -160,7 +160,7 @@
     seed: 1,
     runs: 1,
     options: {
-      plant: replace(ConfigurationHistory, 'apply', (original, self, record) => {
+      injectFault: replace(ConfigurationHistory, 'apply', (original, self, record) => {
         const { body } = record as { body: { baseRevision?: number } }
         return original({ ...record as object, body: { ...body, baseRevision: (self as unknown as { decided: number }).decided } })
       })
@@ -172,7 +172,7 @@
     seed: 1,
     runs: 100,
     options: {
-      plant: replace(ConfigurationHistory, 'learn', (original, self, ...given) => {
+      injectFault: replace(ConfigurationHistory, 'learn', (original, self, ...given) => {
         Object.assign(self, { current: undefined })
         return original(...given)
       })
@@ -184,7 +184,7 @@
     seed: 8,
     runs: 2,
     options: {
-      plant: replace(RequestDispatcher, 'refreshExecutors', (original, self) => {
+      injectFault: replace(RequestDispatcher, 'refreshExecutors', (original, self) => {
         original()
         for (const executor of (self as unknown as { executors: Map<string, { leaving: boolean }> }).executors.values()) executor.leaving = false
       })
@@ -195,7 +195,7 @@
     checks: ['NoAcceptedJobLost'],
     seed: 1,
     runs: 1,
-    options: { plant: replace(PlacementTask, 'endJob', () => {}) }
+    options: { injectFault: replace(PlacementTask, 'endJob', () => {}) }
   },
   {
     name: 'a finished task is acknowledged before its end is in the log',
@@ -203,7 +203,7 @@
     seed: 1,
     runs: 100,
     options: {
-      plant: replace(TaskLedger, 'onReportedTask', (original, _self, entry, reported, now) => {
+      injectFault: replace(TaskLedger, 'onReportedTask', (original, _self, entry, reported, now) => {
         original(entry, reported, now)
         const { task, attempt, state } = reported as { task: string, attempt: unknown, state: string }
         if (state === 'finished') (entry as { pendingAcknowledgements: Map<string, unknown> }).pendingAcknowledgements.set(task, attempt)
--- a/test/fuzz/faultsMain.ts
+++ b/test/fuzz/faultsMain.ts
@@ -16,7 +16,7 @@
 
 const TRIALS: readonly Trial[] = [
   ...PLANTED_FAULTS.map((fault): Trial => ({ ...fault, run: async (seed, runs) => await fuzz({ seed, runs, shrink: false, ...fault.options }) })),
-  ...PLANTED_CLUSTER_FAULTS.map((fault): Trial => ({ ...fault, run: async (seed, runs) => await fuzzCluster({ seed, runs, shrink: false, plant: fault.plant }) }))
+  ...PLANTED_CLUSTER_FAULTS.map((fault): Trial => ({ ...fault, run: async (seed, runs) => await fuzzCluster({ seed, runs, shrink: false, injectFault: fault.plant }) }))
 ]
 
 tool.command('', 'fuzz with each planted fault and say whether it is found')
--- a/test/fuzz/fuzzer.ts
+++ b/test/fuzz/fuzzer.ts
@@ -11,7 +11,7 @@
   /** Number of the first run, so that a run found earlier is repeated alone. */
   readonly firstRun?: number
   /** Runs before a trace, to plant a fault; what it returns runs after the trace has ended. */
-  readonly plant?: () => () => void
+  readonly injectFault?: () => () => void
   /** Whether a failing trace is made small. */
   readonly shrink?: boolean
 }
@@ -47,7 +47,7 @@
 export async function checkTraces<Trace> (options: TraceOptions, subject: string, traces: fc.Arbitrary<Trace>, run: (seed: number, trace: Trace) => Promise<void>): Promise<FuzzFailure | undefined> {
   const { seed, runs } = options
   const property = fc.asyncProperty(fc.nat({ max: 1_000_000 }), traces, async (subjectSeed, trace) => {
-    const restore = options.plant?.()
+    const restore = options.injectFault?.()
     try {
       await run(subjectSeed, trace)
     } finally {
