--- a/test/entry/ownershipTask.test.ts
+++ b/test/entry/ownershipTask.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test'
 import type { FakeSite } from '../fakes/fakeSite.js'
 import { PLATFORM } from '../fakes/network.js'
-import { prove } from '../fuzz/fuzzer.js'
+import { verifySite } from '../fuzz/fuzzer.js'
 
 const TAKEOVER_MILLISECONDS = 10_000
 
@@ -23,7 +23,7 @@
 describe('OwnershipTask', () => {
   for (const { name, act } of REPLACEMENTS) {
     it(`each failure domain has an owner again after ${name}`, async () => {
-      await prove({ seed: 0 }, async site => {
+      await verifySite({ seed: 0 }, async site => {
         act(site)
         await site.advance(TAKEOVER_MILLISECONDS)
         assertOneOwnerEach(site)
@@ -34,7 +34,7 @@
   // Renewals that were given up shifted every later confirmation, and the holder of the term never acted again.
   for (const milliseconds of CUT_MILLISECONDS) {
     it(`a successor that is cut off from the log for ${milliseconds} ms acts afterwards`, async () => {
-      await prove({ seed: 0 }, async site => {
+      await verifySite({ seed: 0 }, async site => {
         const elector = site.alive().find(({ entry, failureDomain }) => failureDomain === 'gent-a' && !entry.components.ownership.isOwner())
         elector?.process.pause()
         await site.advance(5000)
--- a/test/entry/requestDispatcher.test.ts
+++ b/test/entry/requestDispatcher.test.ts
@@ -1,6 +1,6 @@
 import { describe, it } from 'node:test'
 import type { FakeSite } from '../fakes/fakeSite.js'
-import { prove } from '../fuzz/fuzzer.js'
+import { verifySite } from '../fuzz/fuzzer.js'
 import { assertChecks } from '../fuzz/oracle.js'
 
 /** Each trace reproduces a past violation of an invariant. */
@@ -26,5 +26,5 @@
 ]
 
 describe('RequestDispatcher', () => {
-  for (const { name, act } of TRACES) it(name, async () => { await prove({ seed: 0 }, act) })
+  for (const { name, act } of TRACES) it(name, async () => { await verifySite({ seed: 0 }, act) })
 })
--- a/test/fuzz/fuzz.test.ts
+++ b/test/fuzz/fuzz.test.ts
@@ -3,7 +3,7 @@
 import { FakeSite } from '../fakes/fakeSite.js'
 import { itUnlessKnownRed } from '../knownRed.js'
 import { PLANTED_FAULTS } from './faults.js'
-import { fuzz, prove, type FuzzOptions } from './fuzzer.js'
+import { fuzz, verifySite, type FuzzOptions } from './fuzzer.js'
 import { assertChecks, watch } from './oracle.js'
 
 const CASES: ReadonlyArray<Pick<FuzzOptions, 'seed' | 'runs' | 'firstRun' | 'keys'>> = [
@@ -32,7 +32,7 @@
   }
 
   itUnlessKnownRed('a keyed booking that is submitted again to another instance runs once', async () => {
-    await prove({ seed: 0 }, async site => {
+    await verifySite({ seed: 0 }, async site => {
       site.request(site.instanceAt(0), 'booking', { key: 'parcel-1' })
       site.request(site.instanceAt(1), 'booking', { key: 'parcel-1' })
       await site.advance(4000)
--- a/test/fuzz/fuzzer.ts
+++ b/test/fuzz/fuzzer.ts
@@ -65,14 +65,14 @@
 export async function fuzz (options: FuzzOptions): Promise<FuzzFailure | undefined> {
   const { keys = false, commands = DEFAULT_COMMANDS, wrapConnections } = options
   return await checkTraces(options, 'site', traces(keys, commands), async (seed, trace) => {
-    await prove({ seed, wrapConnections }, async site => {
+    await verifySite({ seed, wrapConnections }, async site => {
       await fc.asyncModelRun(() => ({ model: { keys }, real: site }), trace)
     })
   })
 }
 
 /** Starts a site, acts on it, heals all faults, checks every invariant and that no timer is left. */
-export async function prove (options: FakeSiteOptions, act: (site: FakeSite) => Promise<void>): Promise<void> {
+export async function verifySite (options: FakeSiteOptions, act: (site: FakeSite) => Promise<void>): Promise<void> {
   const site = new FakeSite(options, watch)
   let timers = 0
   try {
