--- a/test/fuzz/fuzzer.ts
+++ b/test/fuzz/fuzzer.ts
@@ -78,7 +78,7 @@
   try {
     await site.begin()
     await act(site)
-    await finish(site)
+    await checkAfterRecovery(site)
   } finally {
     timers = await site.dispose()
   }
@@ -86,7 +86,7 @@
 }
 
 /** Heals all faults and lets everything end, then runs the checks of the end. */
-export async function finish (site: FakeSite): Promise<void> {
+export async function checkAfterRecovery (site: FakeSite): Promise<void> {
   site.heal()
   site.publish(decidedRevision(site), 100)
   await site.advance(LEFTOVER_MILLISECONDS)
