--- a/test/fuzz/fuzzer.ts
+++ b/test/fuzz/fuzzer.ts
@@ -30,7 +30,7 @@
 /** The first violation that was found. */
 export interface FuzzFailure {
   readonly seed: number
-  readonly path: string
+  readonly counterexamplePath: string
   readonly runs: number
   /** Name of the violated check and what was seen. */
   readonly problem: string
@@ -58,7 +58,7 @@
   if (!details.failed) return undefined
   const [subjectSeed, trace] = details.counterexample ?? [0, '']
   const problem = details.errorInstance instanceof Error ? details.errorInstance.message : String(details.errorInstance)
-  return { seed, path: details.counterexamplePath ?? '', runs: details.numRuns, problem, trace: `${subject}(${subjectSeed})\n${String(trace).split(/,(?=[a-zA-Z]+\()/).join('\n')}` }
+  return { seed, counterexamplePath: details.counterexamplePath ?? '', runs: details.numRuns, problem, trace: `${subject}(${subjectSeed})\n${String(trace).split(/,(?=[a-zA-Z]+\()/).join('\n')}` }
 }
 
 /** Runs traces of commands against a fresh site each, heals all faults at the end, and checks again after enough time. */
--- a/test/fuzz/main.ts
+++ b/test/fuzz/main.ts
@@ -21,7 +21,7 @@
       console.log('no violation found')
       return
     }
-    console.log(`${failure.problem}\nfound with seed ${failure.seed} in run ${failure.runs}, path ${failure.path}\n${failure.trace}`)
+    console.log(`${failure.problem}\nfound with seed ${failure.seed} in run ${failure.runs}, path ${failure.counterexamplePath}\n${failure.trace}`)
     process.exitCode = 1
   })
 tool.help()
