--- a/test/fuzz/faults.ts
+++ b/test/fuzz/faults.ts
@@ -13,7 +13,7 @@
 import type { FuzzOptions } from './fuzzer.js'
 
 /** A fault planted in the code, and the check that must find it. */
-export interface PlantedFault {
+export interface InjectedFault {
   readonly name: string
   /** Any of these checks counts as finding it. */
   readonly checks: readonly string[]
@@ -80,7 +80,7 @@
 }
 
 /** The table of planted faults. Those with 100 runs have not been found with their seed yet; the others are found in exactly their runs. */
-export const PLANTED_FAULTS: readonly PlantedFault[] = [
+export const PLANTED_FAULTS: readonly InjectedFault[] = [
   {
     name: 'worker accounting ignores starts of unknown outcome',
     checks: ['WorkerNeverOvercommitted', 'TaskNeverInTwoPlaces'],
