--- a/test/fuzz/faults.ts
+++ b/test/fuzz/faults.ts
@@ -80,7 +80,7 @@
 }
 
 /** The table of planted faults. Those with 100 runs have not been found with their seed yet; the others are found in exactly their runs. */
-export const PLANTED_FAULTS: readonly InjectedFault[] = [
+export const INJECTED_FAULTS: readonly InjectedFault[] = [
   {
     name: 'worker accounting ignores starts of unknown outcome',
     checks: ['WorkerNeverOvercommitted', 'TaskNeverInTwoPlaces'],
--- a/test/fuzz/faultsMain.ts
+++ b/test/fuzz/faultsMain.ts
@@ -1,7 +1,7 @@
 import { cac } from 'cac'
 import { PLANTED_CLUSTER_FAULTS } from './clusterFaults.js'
 import { fuzzCluster } from './clusterFuzzer.js'
-import { PLANTED_FAULTS } from './faults.js'
+import { INJECTED_FAULTS } from './faults.js'
 import { fuzz, type FuzzFailure } from './fuzzer.js'
 
 const tool = cac('fuzz:faults')
@@ -15,7 +15,7 @@
 }
 
 const TRIALS: readonly Trial[] = [
-  ...PLANTED_FAULTS.map((fault): Trial => ({ ...fault, run: async (seed, runs) => await fuzz({ seed, runs, shrink: false, ...fault.options }) })),
+  ...INJECTED_FAULTS.map((fault): Trial => ({ ...fault, run: async (seed, runs) => await fuzz({ seed, runs, shrink: false, ...fault.options }) })),
   ...PLANTED_CLUSTER_FAULTS.map((fault): Trial => ({ ...fault, run: async (seed, runs) => await fuzzCluster({ seed, runs, shrink: false, injectFault: fault.plant }) }))
 ]
 
--- a/test/fuzz/fuzz.test.ts
+++ b/test/fuzz/fuzz.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test'
 import { FakeSite } from '../fakes/fakeSite.js'
 import { itUnlessKnownRed } from '../knownRed.js'
-import { PLANTED_FAULTS } from './faults.js'
+import { INJECTED_FAULTS } from './faults.js'
 import { fuzz, verifySite, type FuzzOptions } from './fuzzer.js'
 import { assertChecks, watch } from './oracle.js'
 
@@ -23,7 +23,7 @@
     })
   }
 
-  for (const { name, checks, seed, runs, options } of PLANTED_FAULTS) {
+  for (const { name, checks, seed, runs, options } of INJECTED_FAULTS) {
     if (runs > MOST_RUNS_FOR_A_FAULT) continue
     it(`finds the planted fault: ${name} (seed ${seed}, ${runs} runs)`, async () => {
       const failure = await fuzz({ seed, runs, shrink: false, ...options })
