--- a/test/fuzz/clusterFaults.ts
+++ b/test/fuzz/clusterFaults.ts
@@ -4,7 +4,7 @@
 import { WorkerSession } from '../../src/cluster/workerSession.js'
 import { WorkerState } from '../../src/cluster/workerState.js'
 import { WorkersOverPaths } from '../fakes/fakeCluster.js'
-import { replace, replaceGetter } from './faults.js'
+import { replaceMethod, replaceGetter } from './faults.js'
 
 /** A fault planted in the cluster scheduler, and the checks of which any must find it. */
 export interface PlantedClusterFault {
@@ -28,7 +28,7 @@
     checks: ['RunsOnce', 'WithinRoom'],
     seed: 1,
     runs: 3,
-    plant: replace(ProgressWriter, 'write', (original, _self, records) => {
+    plant: replaceMethod(ProgressWriter, 'write', (original, _self, records) => {
       original(records)
       return Promise.resolve('stored')
     })
@@ -45,14 +45,14 @@
     checks: ['RunsOnce', 'WithinRoom', 'CompletedMeansDone', 'NoJobLost'],
     seed: 1,
     runs: 43,
-    plant: replace(ProgressWriter, 'fence', () => Promise.resolve('stored'))
+    plant: replaceMethod(ProgressWriter, 'fence', () => Promise.resolve('stored'))
   },
   {
     name: 'a silent worker is given up before its lease ends',
     checks: ['RunsOnce'],
     seed: 1,
     runs: 238,
-    plant: replace(WorkerSession, 'updateLeaseExpiry', (_original, self) => {
+    plant: replaceMethod(WorkerSession, 'updateLeaseExpiry', (_original, self) => {
       const session = self as unknown as LooseSession
       session.leasesEndAt = session.now() + 2000
     })
@@ -62,14 +62,14 @@
     checks: ['RunsOnce', 'WithinRoom'],
     seed: 1,
     runs: 48,
-    plant: replace(ClusterScheduler, 'onStartOutcome', (original, _self, task, run, outcome, now) => original(task, run, outcome === 'uncertain' ? 'notStarted' : outcome, now))
+    plant: replaceMethod(ClusterScheduler, 'onStartOutcome', (original, _self, task, run, outcome, now) => original(task, run, outcome === 'uncertain' ? 'notStarted' : outcome, now))
   },
   {
     name: 'room is free as soon as a stop is ordered',
     checks: ['RunsOnce', 'WithinRoom'],
     seed: 1,
     runs: 124,
-    plant: replace(ClusterScheduler, 'stopRun', (original, self, task) => {
+    plant: replaceMethod(ClusterScheduler, 'stopRun', (original, self, task) => {
       original(task)
       if ((task as Task).phase === 'stopping') (self.giveUpRun as (task: unknown) => void)(task)
     })
@@ -79,14 +79,14 @@
     checks: ['RunsOnce', 'WithinRoom'],
     seed: 1,
     runs: 15,
-    plant: replace(ClusterScheduler, 'isRunAbsent', () => true)
+    plant: replaceMethod(ClusterScheduler, 'isRunAbsent', () => true)
   },
   {
     name: 'runs are given up when their worker shows a new process',
     checks: ['RunsOnce', 'WithinRoom'],
     seed: 1,
     runs: 25,
-    plant: replace(ClusterScheduler, 'onWorkerRestarted', (original, self, worker) => {
+    plant: replaceMethod(ClusterScheduler, 'onWorkerRestarted', (original, self, worker) => {
       original(worker)
       for (const task of [...(worker as WorkerState).runs.values()]) (self.giveUpRun as (task: unknown) => void)(task)
     })
@@ -96,7 +96,7 @@
     checks: ['RunsOnce', 'WithinRoom'],
     seed: 1,
     runs: 13,
-    plant: replace(ClusterScheduler, 'adoptRestoredRun', (_original, _self, restored) => {
+    plant: replaceMethod(ClusterScheduler, 'adoptRestoredRun', (_original, _self, restored) => {
       const task = restored as Task
       if (task.phase !== 'uncertain') return
       task.phase = 'waiting'
@@ -108,7 +108,7 @@
     checks: ['RunsOnce', 'NoJobLost'],
     seed: 1,
     runs: 279,
-    plant: replace(WorkersOverPaths, 'isStillConnected', () => true)
+    plant: replaceMethod(WorkersOverPaths, 'isStillConnected', () => true)
   },
   {
     name: 'all that a worker has been told to forget is sent to whatever process answers at its address',
@@ -117,7 +117,7 @@
     runs: 47,
     plant: all(
       replaceGetter(WorkerState, 'endToAcknowledge', (self: { recordedEnd: number }) => self.recordedEnd),
-      replace(WorkersOverPaths, 'isStillConnected', () => true)
+      replaceMethod(WorkersOverPaths, 'isStillConnected', () => true)
     )
   }
 ]
--- a/test/fuzz/faults.ts
+++ b/test/fuzz/faults.ts
@@ -27,7 +27,7 @@
 type Loose = Record<string, (...given: unknown[]) => unknown>
 
 /** Replaces a method of a class until the returned function is called. */
-export function replace (type: { prototype: object }, name: string, substitute: (original: (...given: unknown[]) => unknown, self: Loose, ...given: unknown[]) => unknown): () => () => void {
+export function replaceMethod (type: { prototype: object }, name: string, substitute: (original: (...given: unknown[]) => unknown, self: Loose, ...given: unknown[]) => unknown): () => () => void {
   return () => {
     const prototype = type.prototype as Loose
     const original = prototype[name] as Method
@@ -86,14 +86,14 @@
     checks: ['WorkerNeverOvercommitted', 'TaskNeverInTwoPlaces'],
     seed: 1,
     runs: 100,
-    options: { injectFault: replace(Scheduler, 'onStartOutcome', (original, _self, task, attempt, outcome, now) => original(task, attempt, outcome === 'unknown' ? 'notSent' : outcome, now)) }
+    options: { injectFault: replaceMethod(Scheduler, 'onStartOutcome', (original, _self, task, attempt, outcome, now) => original(task, attempt, outcome === 'unknown' ? 'notSent' : outcome, now)) }
   },
   {
     name: 'worker accounting ignores memory and processors',
     checks: ['WorkerNeverOvercommitted'],
     seed: 1,
     runs: 1,
-    options: { injectFault: replace(Worker, 'adopt', (original, _self, task, job, attempt, resources, ...rest) => original(task, job, attempt, { ...resources as object, processorsThousandths: 0 }, ...rest)) }
+    options: { injectFault: replaceMethod(Worker, 'adopt', (original, _self, task, job, attempt, resources, ...rest) => original(task, job, attempt, { ...resources as object, processorsThousandths: 0 }, ...rest)) }
   },
   {
     name: 'the lease is counted from when its renewal was read and lasts 20 s',
@@ -101,7 +101,7 @@
     seed: 4,
     runs: 100,
     options: {
-      injectFault: replace(Ownership, 'onRenewal', (original, self, ...given) => {
+      injectFault: replaceMethod(Ownership, 'onRenewal', (original, self, ...given) => {
         original(...given)
         const rules = self as unknown as { holdsTerm: () => boolean, leaseUntil: number }
         if (rules.holdsTerm()) rules.leaseUntil = (given[given.length - 1] as number) + 20_000
@@ -113,14 +113,14 @@
     checks: ['TaskNeverInTwoPlaces', 'WorkerNeverOvercommitted'],
     seed: 1,
     runs: 100,
-    options: { injectFault: replace(Scheduler, 'inventoryComplete', () => true) }
+    options: { injectFault: replaceMethod(Scheduler, 'inventoryComplete', () => true) }
   },
   {
     name: 'a request that may have run is sent again although it is not idempotent',
     checks: ['NonIdempotentAtMostOnce'],
     seed: 11,
     runs: 1,
-    options: { injectFault: replace(RequestDispatcher, 'mayRetry', (original, _self, pending, failed) => original(pending, { ...failed as object, retryable: true, sent: false })) }
+    options: { injectFault: replaceMethod(RequestDispatcher, 'mayRetry', (original, _self, pending, failed) => original(pending, { ...failed as object, retryable: true, sent: false })) }
   },
   { name: 'answers are swapped between two requests', checks: ['WholeOwnAnswer'], seed: 1, runs: 1, options: { wrapConnections: swapBodies() } },
   { name: 'a truncated body is passed as complete', checks: ['WholeOwnAnswer'], seed: 2, runs: 1, options: { wrapConnections: completeCutBodies() } },
@@ -145,14 +145,14 @@
     checks: ['ExecutorSlotsNeverExceeded'],
     seed: 1,
     runs: 100,
-    options: { injectFault: replace(SlotHolder, 'free', (original, _self, executor) => original(executor, -Infinity)) }
+    options: { injectFault: replaceMethod(SlotHolder, 'free', (original, _self, executor) => original(executor, -Infinity)) }
   },
   {
     name: 'a slot is released when its request times out',
     checks: ['ExecutorSlotsNeverExceeded'],
     seed: 1,
     runs: 100,
-    options: { injectFault: replace(RequestSender, 'releaseAfterRun', (_original, self, _pending, executor) => { self.release?.(executor) }) }
+    options: { injectFault: replaceMethod(RequestSender, 'releaseAfterRun', (_original, self, _pending, executor) => { self.release?.(executor) }) }
   },
   {
     name: 'the publish record that was read last wins',
@@ -160,7 +160,7 @@
     seed: 1,
     runs: 1,
     options: {
-      injectFault: replace(ConfigurationHistory, 'apply', (original, self, record) => {
+      injectFault: replaceMethod(ConfigurationHistory, 'apply', (original, self, record) => {
         const { body } = record as { body: { baseRevision?: number } }
         return original({ ...record as object, body: { ...body, baseRevision: (self as unknown as { decided: number }).decided } })
       })
@@ -172,7 +172,7 @@
     seed: 1,
     runs: 100,
     options: {
-      injectFault: replace(ConfigurationHistory, 'learn', (original, self, ...given) => {
+      injectFault: replaceMethod(ConfigurationHistory, 'learn', (original, self, ...given) => {
         Object.assign(self, { current: undefined })
         return original(...given)
       })
@@ -184,7 +184,7 @@
     seed: 8,
     runs: 2,
     options: {
-      injectFault: replace(RequestDispatcher, 'refreshExecutors', (original, self) => {
+      injectFault: replaceMethod(RequestDispatcher, 'refreshExecutors', (original, self) => {
         original()
         for (const executor of (self as unknown as { executors: Map<string, { leaving: boolean }> }).executors.values()) executor.leaving = false
       })
@@ -195,7 +195,7 @@
     checks: ['NoAcceptedJobLost'],
     seed: 1,
     runs: 1,
-    options: { injectFault: replace(PlacementTask, 'endJob', () => {}) }
+    options: { injectFault: replaceMethod(PlacementTask, 'endJob', () => {}) }
   },
   {
     name: 'a finished task is acknowledged before its end is in the log',
@@ -203,7 +203,7 @@
     seed: 1,
     runs: 100,
     options: {
-      injectFault: replace(TaskLedger, 'onReportedTask', (original, _self, entry, reported, now) => {
+      injectFault: replaceMethod(TaskLedger, 'onReportedTask', (original, _self, entry, reported, now) => {
         original(entry, reported, now)
         const { task, attempt, state } = reported as { task: string, attempt: unknown, state: string }
         if (state === 'finished') (entry as { pendingAcknowledgements: Map<string, unknown> }).pendingAcknowledgements.set(task, attempt)
