--- a/test/fuzz/clusterFaults.ts
+++ b/test/fuzz/clusterFaults.ts
@@ -7,7 +7,7 @@
 import { replaceMethod, replaceGetter } from './faults.js'
 
 /** A fault planted in the cluster scheduler, and the checks of which any must find it. */
-export interface PlantedClusterFault {
+export interface InjectedClusterFault {
   readonly name: string
   readonly checks: readonly string[]
   readonly seed: number
@@ -22,7 +22,7 @@
   now (): number
 }
 
-export const PLANTED_CLUSTER_FAULTS: readonly PlantedClusterFault[] = [
+export const PLANTED_CLUSTER_FAULTS: readonly InjectedClusterFault[] = [
   {
     name: 'placements are ordered before they are recorded',
     checks: ['RunsOnce', 'WithinRoom'],
