--- a/test/fuzz/clusterFaults.ts
+++ b/test/fuzz/clusterFaults.ts
@@ -22,7 +22,7 @@
   now (): number
 }
 
-export const PLANTED_CLUSTER_FAULTS: readonly InjectedClusterFault[] = [
+export const INJECTED_CLUSTER_FAULTS: readonly InjectedClusterFault[] = [
   {
     name: 'placements are ordered before they are recorded',
     checks: ['RunsOnce', 'WithinRoom'],
--- a/test/fuzz/faultsMain.ts
+++ b/test/fuzz/faultsMain.ts
@@ -1,5 +1,5 @@
 import { cac } from 'cac'
-import { PLANTED_CLUSTER_FAULTS } from './clusterFaults.js'
+import { INJECTED_CLUSTER_FAULTS } from './clusterFaults.js'
 import { fuzzCluster } from './clusterFuzzer.js'
 import { INJECTED_FAULTS } from './faults.js'
 import { fuzz, type FuzzFailure } from './fuzzer.js'
@@ -16,7 +16,7 @@
 
 const TRIALS: readonly Trial[] = [
   ...INJECTED_FAULTS.map((fault): Trial => ({ ...fault, run: async (seed, runs) => await fuzz({ seed, runs, shrink: false, ...fault.options }) })),
-  ...PLANTED_CLUSTER_FAULTS.map((fault): Trial => ({ ...fault, run: async (seed, runs) => await fuzzCluster({ seed, runs, shrink: false, injectFault: fault.plant }) }))
+  ...INJECTED_CLUSTER_FAULTS.map((fault): Trial => ({ ...fault, run: async (seed, runs) => await fuzzCluster({ seed, runs, shrink: false, injectFault: fault.plant }) }))
 ]
 
 tool.command('', 'fuzz with each planted fault and say whether it is found')
