--- a/test/fuzz/clusterFaults.ts
+++ b/test/fuzz/clusterFaults.ts
@@ -13,7 +13,7 @@
   readonly seed: number
   /** Smallest number of runs that finds it with the seed. */
   readonly runs: number
-  readonly plant: () => () => void
+  readonly injectFault: () => () => void
 }
 
 /** The worker's clock reading of a session, loosely typed. */
@@ -28,7 +28,7 @@
     checks: ['RunsOnce', 'WithinRoom'],
     seed: 1,
     runs: 3,
-    plant: replaceMethod(ProgressWriter, 'write', (original, _self, records) => {
+    injectFault: replaceMethod(ProgressWriter, 'write', (original, _self, records) => {
       original(records)
       return Promise.resolve('stored')
     })
@@ -38,21 +38,21 @@
     checks: ['RunsOnce', 'CompletedMeansDone', 'NoJobLost'],
     seed: 1,
     runs: 20,
-    plant: replaceGetter(WorkerState, 'endToAcknowledge', (self: { processedEnd: number }) => self.processedEnd)
+    injectFault: replaceGetter(WorkerState, 'endToAcknowledge', (self: { processedEnd: number }) => self.processedEnd)
   },
   {
     name: 'former schedulers are not shut out of the log',
     checks: ['RunsOnce', 'WithinRoom', 'CompletedMeansDone', 'NoJobLost'],
     seed: 1,
     runs: 43,
-    plant: replaceMethod(ProgressWriter, 'fence', () => Promise.resolve('stored'))
+    injectFault: replaceMethod(ProgressWriter, 'fence', () => Promise.resolve('stored'))
   },
   {
     name: 'a silent worker is given up before its lease ends',
     checks: ['RunsOnce'],
     seed: 1,
     runs: 238,
-    plant: replaceMethod(WorkerSession, 'updateLeaseExpiry', (_original, self) => {
+    injectFault: replaceMethod(WorkerSession, 'updateLeaseExpiry', (_original, self) => {
       const session = self as unknown as LooseSession
       session.leasesEndAt = session.now() + 2000
     })
@@ -62,14 +62,14 @@
     checks: ['RunsOnce', 'WithinRoom'],
     seed: 1,
     runs: 48,
-    plant: replaceMethod(ClusterScheduler, 'onStartOutcome', (original, _self, task, run, outcome, now) => original(task, run, outcome === 'uncertain' ? 'notStarted' : outcome, now))
+    injectFault: replaceMethod(ClusterScheduler, 'onStartOutcome', (original, _self, task, run, outcome, now) => original(task, run, outcome === 'uncertain' ? 'notStarted' : outcome, now))
   },
   {
     name: 'room is free as soon as a stop is ordered',
     checks: ['RunsOnce', 'WithinRoom'],
     seed: 1,
     runs: 124,
-    plant: replaceMethod(ClusterScheduler, 'stopRun', (original, self, task) => {
+    injectFault: replaceMethod(ClusterScheduler, 'stopRun', (original, self, task) => {
       original(task)
       if ((task as Task).phase === 'stopping') (self.giveUpRun as (task: unknown) => void)(task)
     })
@@ -79,14 +79,14 @@
     checks: ['RunsOnce', 'WithinRoom'],
     seed: 1,
     runs: 15,
-    plant: replaceMethod(ClusterScheduler, 'isRunAbsent', () => true)
+    injectFault: replaceMethod(ClusterScheduler, 'isRunAbsent', () => true)
   },
   {
     name: 'runs are given up when their worker shows a new process',
     checks: ['RunsOnce', 'WithinRoom'],
     seed: 1,
     runs: 25,
-    plant: replaceMethod(ClusterScheduler, 'onWorkerRestarted', (original, self, worker) => {
+    injectFault: replaceMethod(ClusterScheduler, 'onWorkerRestarted', (original, self, worker) => {
       original(worker)
       for (const task of [...(worker as WorkerState).runs.values()]) (self.giveUpRun as (task: unknown) => void)(task)
     })
@@ -96,7 +96,7 @@
     checks: ['RunsOnce', 'WithinRoom'],
     seed: 1,
     runs: 13,
-    plant: replaceMethod(ClusterScheduler, 'adoptRestoredRun', (_original, _self, restored) => {
+    injectFault: replaceMethod(ClusterScheduler, 'adoptRestoredRun', (_original, _self, restored) => {
       const task = restored as Task
       if (task.phase !== 'uncertain') return
       task.phase = 'waiting'
@@ -108,14 +108,14 @@
     checks: ['RunsOnce', 'NoJobLost'],
     seed: 1,
     runs: 279,
-    plant: replaceMethod(WorkersOverPaths, 'isStillConnected', () => true)
+    injectFault: replaceMethod(WorkersOverPaths, 'isStillConnected', () => true)
   },
   {
     name: 'all that a worker has been told to forget is sent to whatever process answers at its address',
     checks: ['RunsOnce', 'NoJobLost'],
     seed: 1,
     runs: 47,
-    plant: all(
+    injectFault: all(
       replaceGetter(WorkerState, 'endToAcknowledge', (self: { recordedEnd: number }) => self.recordedEnd),
       replaceMethod(WorkersOverPaths, 'isStillConnected', () => true)
     )
--- a/test/fuzz/clusterFuzz.test.ts
+++ b/test/fuzz/clusterFuzz.test.ts
@@ -23,7 +23,7 @@
     })
   }
 
-  for (const { name, checks, seed, runs, plant } of INJECTED_CLUSTER_FAULTS) {
+  for (const { name, checks, seed, runs, injectFault: plant } of INJECTED_CLUSTER_FAULTS) {
     if (runs > MOST_RUNS_FOR_A_FAULT) continue
     it(`finds the planted fault: ${name} (seed ${seed}, ${runs} runs)`, async () => {
       const failure = await fuzzCluster({ seed, runs, shrink: false, injectFault: plant })
--- a/test/fuzz/faultsMain.ts
+++ b/test/fuzz/faultsMain.ts
@@ -16,7 +16,7 @@
 
 const TRIALS: readonly Trial[] = [
   ...INJECTED_FAULTS.map((fault): Trial => ({ ...fault, run: async (seed, runs) => await fuzz({ seed, runs, shrink: false, ...fault.options }) })),
-  ...INJECTED_CLUSTER_FAULTS.map((fault): Trial => ({ ...fault, run: async (seed, runs) => await fuzzCluster({ seed, runs, shrink: false, injectFault: fault.plant }) }))
+  ...INJECTED_CLUSTER_FAULTS.map((fault): Trial => ({ ...fault, run: async (seed, runs) => await fuzzCluster({ seed, runs, shrink: false, injectFault: fault.injectFault }) }))
 ]
 
 tool.command('', 'fuzz with each planted fault and say whether it is found')
