--- a/test/fuzz/clusterFuzzer.ts
+++ b/test/fuzz/clusterFuzzer.ts
@@ -99,14 +99,14 @@
   const { commands = DEFAULT_COMMANDS } = options
   const traces = fc.commands(COMMANDS.flatMap(({ weight, arbitrary }) => Array.from({ length: weight }, () => arbitrary)), { maxCommands: commands, size: 'max' })
   return await checkTraces(options, 'cluster', traces, async (seed, trace) => {
-    await proveCluster(seed, async (cluster, oracle) => {
+    await verifyCluster(seed, async (cluster, oracle) => {
       await fc.asyncModelRun(() => ({ model: {}, real: { cluster, oracle } }), trace)
     })
   })
 }
 
 /** Starts a cluster, acts on it, ends all faults, and checks what must hold in the end. */
-export async function proveCluster (seed: number, act: (cluster: FakeCluster, oracle: ClusterOracle) => Promise<void>): Promise<void> {
+export async function verifyCluster (seed: number, act: (cluster: FakeCluster, oracle: ClusterOracle) => Promise<void>): Promise<void> {
   const oracle = new ClusterOracle()
   const cluster = new FakeCluster(seed, oracle)
   try {
