--- a/features/steps/serving.steps.ts
+++ b/features/steps/serving.steps.ts
@@ -2,7 +2,7 @@
 import { After, Given, setDefaultTimeout, Then, When } from '@cucumber/cucumber'
 import { FakeSite, type ServiceName, type StartedInstance, type SubmittedRequest } from '../../test/fakes/fakeSite.js'
 import { PLATFORM } from '../../test/fakes/network.js'
-import { assertChecks, decidedRevision, NoAcceptedJobLost, watch } from '../../test/fuzz/oracle.js'
+import { assertChecks, decidedRevision, NoAcceptedJobLost, recordTransientViolations } from '../../test/fuzz/oracle.js'
 
 interface ServingWorld {
   site: FakeSite | undefined
@@ -31,7 +31,7 @@
 }
 
 Given('a site with the failure domains gent-a and gent-b', async function (this: ServingWorld) {
-  this.site = new FakeSite({ seed: 1 }, watch)
+  this.site = new FakeSite({ seed: 1 }, recordTransientViolations)
   await this.site.begin()
 })
 
--- a/test/fuzz/fuzz.test.ts
+++ b/test/fuzz/fuzz.test.ts
@@ -4,7 +4,7 @@
 import { itUnlessKnownRed } from '../knownRed.js'
 import { INJECTED_FAULTS } from './faults.js'
 import { fuzz, verifySite, type FuzzOptions } from './fuzzer.js'
-import { assertChecks, watch } from './oracle.js'
+import { assertChecks, recordTransientViolations } from './oracle.js'
 
 const CASES: ReadonlyArray<Pick<FuzzOptions, 'seed' | 'runs' | 'firstRun' | 'keys'>> = [
   { seed: 21, runs: 12 },
@@ -40,7 +40,7 @@
   })
 
   itUnlessKnownRed('executors carry at most their slots when demand moves between instances', async () => {
-    const site = new FakeSite({ seed: 107267 }, watch)
+    const site = new FakeSite({ seed: 107267 }, recordTransientViolations)
     try {
       await site.begin()
       await site.advance(50)
--- a/test/fuzz/fuzzer.ts
+++ b/test/fuzz/fuzzer.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check'
 import { FakeSite, type FakeSiteOptions } from '../fakes/fakeSite.js'
 import { traces } from './commands.js'
-import { assertChecks, decidedRevision, FINAL_CHECKS, NoAcceptedJobLost, watch } from './oracle.js'
+import { assertChecks, decidedRevision, FINAL_CHECKS, NoAcceptedJobLost, recordTransientViolations } from './oracle.js'
 
 /** How many traces are run, and which. */
 export interface TraceOptions {
@@ -73,7 +73,7 @@
 
 /** Starts a site, acts on it, heals all faults, checks every invariant and that no timer is left. */
 export async function verifySite (options: FakeSiteOptions, act: (site: FakeSite) => Promise<void>): Promise<void> {
-  const site = new FakeSite(options, watch)
+  const site = new FakeSite(options, recordTransientViolations)
   let timers = 0
   try {
     await site.begin()
--- a/test/fuzz/oracle.ts
+++ b/test/fuzz/oracle.ts
@@ -157,7 +157,7 @@
 export const FINAL_CHECKS: Readonly<Record<string, Check>> = { ...CHECKS, ConfigurationInForceEverywhere, NoAcceptedJobLost }
 
 /** Notes violations that only last for a moment. To be run at every step of the clock. */
-export function watch (site: FakeSite): void {
+export function recordTransientViolations (site: FakeSite): void {
   for (const [name, check] of Object.entries({ WorkerNeverOvercommitted, ConfigurationNeverReverts })) {
     const [problem] = check(site)
     if (problem !== undefined && !site.noticed.has(name)) site.noticed.set(name, problem)
