--- a/test/fuzz/clusterOracle.ts
+++ b/test/fuzz/clusterOracle.ts
@@ -26,7 +26,7 @@
   private view: ClusterView | undefined
 
   /** Notes a promise that was broken. */
-  note (problem: string): void {
+  addProblem (problem: string): void {
     this.problems.push(problem)
   }
 
@@ -46,15 +46,15 @@
     for (const other of this.view?.workers.values() ?? []) {
       other.expire()
       const present = other.running.get(task)
-      if (present !== undefined) this.note(`RunsOnce: ${start} was started while run ${present.run} was on ${other.identity}`)
+      if (present !== undefined) this.addProblem(`RunsOnce: ${start} was started while run ${present.run} was on ${other.identity}`)
     }
-    if (worker.running.size >= worker.room) this.note(`WithinRoom: ${start} was started beside ${worker.running.size} others`)
+    if (worker.running.size >= worker.room) this.addProblem(`WithinRoom: ${start} was started beside ${worker.running.size} others`)
     for (const end of this.done.get(task) ?? []) {
-      if (end.isAcknowledged) this.note(`RunsOnce: ${start} was started after the end of run ${end.run} was acknowledged`)
+      if (end.isAcknowledged) this.addProblem(`RunsOnce: ${start} was started after the end of run ${end.run} was acknowledged`)
       end.startedAfter ??= start
     }
-    if (this.shown.has(jobOf(task))) this.note(`RunsOnce: ${start} was started after its job had been shown as completed`)
-    if ((this.failures.get(task) ?? 0) >= ATTEMPTS) this.note(`WithinAttempts: ${start} was started after ${ATTEMPTS} failed runs`)
+    if (this.shown.has(jobOf(task))) this.addProblem(`RunsOnce: ${start} was started after its job had been shown as completed`)
+    if ((this.failures.get(task) ?? 0) >= ATTEMPTS) this.addProblem(`WithinAttempts: ${start} was started after ${ATTEMPTS} failed runs`)
     this.checkOrder(task, start)
   }
 
@@ -70,7 +70,7 @@
     // A lease that ended in between makes the end uncertain for good.
     if (known === undefined || worker.lapsedAt > known.endedAt) return
     known.isAcknowledged = true
-    if (known.startedAfter !== undefined) this.note(`RunsOnce: ${known.startedAfter} was started after run ${known.run} had ended on ${worker.identity}, and that end was acknowledged later`)
+    if (known.startedAfter !== undefined) this.addProblem(`RunsOnce: ${known.startedAfter} was started after run ${known.run} had ended on ${worker.identity}, and that end was acknowledged later`)
   }
 
   /** What must hold once all faults are over and enough time has passed. */
@@ -78,7 +78,7 @@
     const scheduler = cluster.active.at(-1)
     for (const job of cluster.jobs) {
       const state = scheduler?.acting.stateOf(job.identity)
-      if (!this.expectedStates(job).includes(String(state))) this.note(`NoJobLost: ${job.identity} is ${state} in the end`)
+      if (!this.expectedStates(job).includes(String(state))) this.addProblem(`NoJobLost: ${job.identity} is ${state} in the end`)
     }
     this.checkNothingLeft(cluster)
   }
@@ -87,7 +87,7 @@
   checkNothingLeft (cluster: ClusterView): void {
     for (const worker of cluster.workers.values()) {
       worker.expire()
-      for (const task of worker.running.keys()) this.note(`NothingLeft: ${task} still runs on ${worker.identity}`)
+      for (const task of worker.running.keys()) this.addProblem(`NothingLeft: ${task} still runs on ${worker.identity}`)
     }
   }
 
@@ -111,7 +111,7 @@
         if (acting.stateOf(job.identity) !== 'completed') continue
         this.shown.add(job.identity)
         const missing = this.firstUnfinishedStep(job)
-        if (missing >= 0) this.note(`CompletedMeansDone: scheduler ${term} shows ${job.identity} as completed, step ${missing} is not done`)
+        if (missing >= 0) this.addProblem(`CompletedMeansDone: scheduler ${term} shows ${job.identity} as completed, step ${missing} is not done`)
       }
     }
   }
@@ -125,11 +125,11 @@
     const [identity, , step] = task.split('.')
     const job = this.view?.jobs.find(candidate => candidate.identity === identity)
     if (job === undefined) {
-      this.note(`OnlySubmitted: ${start} belongs to no job`)
+      this.addProblem(`OnlySubmitted: ${start} belongs to no job`)
       return
     }
     for (const earlier of job.job.steps[Number(step)]?.after ?? []) {
-      if (!this.isStepDone(job, earlier)) this.note(`InOrder: ${start} was started before step ${earlier} was done`)
+      if (!this.isStepDone(job, earlier)) this.addProblem(`InOrder: ${start} was started before step ${earlier} was done`)
     }
   }
 
--- a/test/soak/callers.ts
+++ b/test/soak/callers.ts
@@ -90,7 +90,7 @@
     else if (outcome.status === 200) {
       job.mayRun = true
       job.acceptedAt ??= performance.now()
-    } else if (outcome.status !== 429 && outcome.status !== 503) this.site.checks.note(`Unexpected: status ${outcome.status} for the submission of ${job.identity}`)
+    } else if (outcome.status !== 429 && outcome.status !== 503) this.site.checks.addProblem(`Unexpected: status ${outcome.status} for the submission of ${job.identity}`)
   }
 
   private async askState (job: SoakJob): Promise<string | undefined> {
--- a/test/soak/soakChecks.ts
+++ b/test/soak/soakChecks.ts
@@ -31,14 +31,14 @@
     this.watch(site)
   }
 
-  override note (problem: string): void {
-    super.note(`${new Date().toISOString()} ${problem}`)
+  override addProblem (problem: string): void {
+    super.addProblem(`${new Date().toISOString()} ${problem}`)
   }
 
   /** Notes that a bound in time was not kept, unless the machine was too slow for it. */
   noteLate (problem: string): void {
     if (this.site.isSlow) this.excused += 1
-    else this.note(problem)
+    else this.addProblem(problem)
   }
 
   override onDidStart (worker: FakeWorker, task: string, run: number): void {
@@ -46,7 +46,7 @@
     const now = performance.now()
     const job = this.site.jobs.find(({ identity }) => task.startsWith(`${identity}.`))
     if (job?.cancelledAt === undefined || now < job.cancelledAt + CANCEL_MILLISECONDS || !this.site.instances.every(instance => this.site.isInTouch(instance))) return
-    this.note(`Unasked: ${task} run ${run} was started on ${worker.identity} ${Math.round(now - job.cancelledAt)} ms after its job was cancelled`)
+    this.addProblem(`Unasked: ${task} run ${run} was started on ${worker.identity} ${Math.round(now - job.cancelledAt)} ms after its job was cancelled`)
   }
 
   /** A connection ended without an answer. */
@@ -58,27 +58,27 @@
   }
 
   onState (job: SoakJob, { instance, sentAt }: SentRequest, status: number, state: string): void {
-    if (status === 410 && job.acceptedAt !== undefined && sentAt > job.acceptedAt + VISIBLE_MILLISECONDS) this.note(`NoJobLost: ${instance.name} does not know ${job.identity}, accepted ${Math.round(sentAt - job.acceptedAt)} ms before`)
+    if (status === 410 && job.acceptedAt !== undefined && sentAt > job.acceptedAt + VISIBLE_MILLISECONDS) this.addProblem(`NoJobLost: ${instance.name} does not know ${job.identity}, accepted ${Math.round(sentAt - job.acceptedAt)} ms before`)
     if (status !== 200) return
     const step = this.firstUnfinishedStep(job)
-    if (state === 'completed' && step >= 0) this.note(`CompletedMeansDone: ${instance.name} shows ${job.identity} as completed, step ${step} is not done`)
-    if (state === 'canceled' && !job.isCancelled) this.note(`NoJobLost: ${instance.name} shows ${job.identity} as cancelled, nobody has cancelled it`)
-    if (state === 'failed' && !this.expectedStates(job).includes('failed')) this.note(`NoJobLost: ${instance.name} shows ${job.identity} as failed without cause`)
+    if (state === 'completed' && step >= 0) this.addProblem(`CompletedMeansDone: ${instance.name} shows ${job.identity} as completed, step ${step} is not done`)
+    if (state === 'canceled' && !job.isCancelled) this.addProblem(`NoJobLost: ${instance.name} shows ${job.identity} as cancelled, nobody has cancelled it`)
+    if (state === 'failed' && !this.expectedStates(job).includes('failed')) this.addProblem(`NoJobLost: ${instance.name} shows ${job.identity} as failed without cause`)
   }
 
   onWaiting (queue: string, { instance, sentAt }: SentRequest, waiting: number): void {
     if (!this.site.isInTouch(instance)) return
     const expected = this.site.jobs.filter(job => job.queue === queue && job.acceptedAt !== undefined && job.acceptedAt + WAITING_AGE_MILLISECONDS < sentAt && !job.isCancelled && !this.hasStarted(job.identity))
-    if (2 * waiting < expected.length) this.note(`WaitingCount: ${instance.name} says that ${waiting} jobs of ${queue} wait, ${expected.length} do: ${expected[0]?.identity}`)
+    if (2 * waiting < expected.length) this.addProblem(`WaitingCount: ${instance.name} says that ${waiting} jobs of ${queue} wait, ${expected.length} do: ${expected[0]?.identity}`)
   }
 
   /** What must hold at the end. `states`: the final state of each job that was accepted, as shown. */
   checkStatesInTheEnd (states: ReadonlyMap<SoakJob, string>): void {
     for (const job of this.site.jobs) {
-      if (!job.mayRun && this.hasStarted(job.identity)) this.note(`NotRunMeansNotRun: every attempt to submit ${job.identity} was refused, and it ran`)
+      if (!job.mayRun && this.hasStarted(job.identity)) this.addProblem(`NotRunMeansNotRun: every attempt to submit ${job.identity} was refused, and it ran`)
       const state = states.get(job) ?? 'unknown'
       const expected = this.expectedStates(job).map(word => word === 'cancelled' ? 'canceled' : word)
-      if (job.mayRun && !expected.includes(state)) this.note(`NoJobLost: ${job.identity} is ${state} in the end`)
+      if (job.mayRun && !expected.includes(state)) this.addProblem(`NoJobLost: ${job.identity} is ${state} in the end`)
     }
     this.checkNothingLeft(this.site)
   }
--- a/test/soak/soakSite.ts
+++ b/test/soak/soakSite.ts
@@ -192,7 +192,7 @@
   }
 
   onProblem (problem: string): void {
-    this.checks.note(problem)
+    this.checks.addProblem(problem)
   }
 
   onLate (problem: string): void {
