--- a/test/fuzz/clusterOracle.ts
+++ b/test/fuzz/clusterOracle.ts
@@ -31,12 +31,12 @@
   }
 
   /** States which workers and jobs are watched. */
-  watch (view: ClusterView): void {
+  setView (view: ClusterView): void {
     this.view = view
   }
 
   onStep (cluster: FakeCluster): void {
-    this.watch(cluster)
+    this.setView(cluster)
     this.checkStates(cluster)
   }
 
--- a/test/soak/soakChecks.ts
+++ b/test/soak/soakChecks.ts
@@ -28,7 +28,7 @@
 
   constructor (private readonly site: SoakSite) {
     super()
-    this.watch(site)
+    this.setView(site)
   }
 
   override addProblem (problem: string): void {
