--- a/test/fuzz/clusterFuzzer.ts
+++ b/test/fuzz/clusterFuzzer.ts
@@ -117,7 +117,7 @@
     cluster.heal()
     cluster.startScheduler()
     await cluster.advance(END_MILLISECONDS)
-    oracle.checkEnd(cluster)
+    oracle.checkFinalState(cluster)
     assertNoProblem(oracle)
   } finally {
     cluster.dispose()
--- a/test/fuzz/clusterOracle.ts
+++ b/test/fuzz/clusterOracle.ts
@@ -74,7 +74,7 @@
   }
 
   /** What must hold once all faults are over and enough time has passed. */
-  checkEnd (cluster: FakeCluster): void {
+  checkFinalState (cluster: FakeCluster): void {
     const scheduler = cluster.active.at(-1)
     for (const job of cluster.jobs) {
       const state = scheduler?.acting.stateOf(job.identity)
