--- a/test/fuzz/clusterOracle.ts
+++ b/test/fuzz/clusterOracle.ts
@@ -80,11 +80,11 @@
       const state = scheduler?.acting.stateOf(job.identity)
       if (!this.expectedStates(job).includes(String(state))) this.addProblem(`NoJobLost: ${job.identity} is ${state} in the end`)
     }
-    this.checkNothingLeft(cluster)
+    this.checkNoRunLeft(cluster)
   }
 
   /** No worker runs anything any more. */
-  checkNothingLeft (cluster: ClusterView): void {
+  checkNoRunLeft (cluster: ClusterView): void {
     for (const worker of cluster.workers.values()) {
       worker.expire()
       for (const task of worker.running.keys()) this.addProblem(`NothingLeft: ${task} still runs on ${worker.identity}`)
--- a/test/soak/soakChecks.ts
+++ b/test/soak/soakChecks.ts
@@ -80,6 +80,6 @@
       const expected = this.expectedStates(job).map(word => word === 'cancelled' ? 'canceled' : word)
       if (job.mayRun && !expected.includes(state)) this.addProblem(`NoJobLost: ${job.identity} is ${state} in the end`)
     }
-    this.checkNothingLeft(this.site)
+    this.checkNoRunLeft(this.site)
   }
 }
