--- a/spec/explore.ts
+++ b/spec/explore.ts
@@ -17,7 +17,7 @@
   readonly next: (state: State, event: Event) => State
   readonly events: (state: State) => readonly Event[]
   readonly serialize: (state: State) => string
-  readonly holds: (state: State) => boolean
+  readonly invariantHolds: (state: State) => boolean
 }
 
 /** Visits every reachable state; does not go on from a state that breaks the invariant. Throws above `MAXIMUM_STATES`. */
@@ -35,7 +35,7 @@
     },
     stopWhen: snapshot => {
       if (violation !== undefined) return true
-      if (subject.holds(snapshot.context)) return false
+      if (subject.invariantHolds(snapshot.context)) return false
       violation = snapshot.context
       return true
     }
--- a/test/spec/modelCheck.test.ts
+++ b/test/spec/modelCheck.test.ts
@@ -43,18 +43,18 @@
     next: (state, event) => specification.next(state, event),
     events: state => specification.events(state),
     serialize: state => serializeOwnership(state, bounds, exchangeable),
-    holds: state => specification.owners(state).length <= 1
+    invariantHolds: state => specification.owners(state).length <= 1
   })
 }
 
 function exploreConfiguration (bounds: ConfigurationBounds): Exploration<unknown> {
   const specification = new ConfigurationSpecification(bounds)
-  return explore({ initial: INITIAL_CONFIGURATION, next: (state, event) => specification.next(state, event as never), events: state => specification.events(state) as never, serialize: serializeConfiguration, holds: state => specification.holds(state) })
+  return explore({ initial: INITIAL_CONFIGURATION, next: (state, event) => specification.next(state, event as never), events: state => specification.events(state) as never, serialize: serializeConfiguration, invariantHolds: state => specification.holds(state) })
 }
 
 function exploreTask (bounds: TaskBounds): Exploration<unknown> {
   const specification = new TaskSpecification(bounds)
-  return explore({ initial: INITIAL_TASK, next: (state, event) => specification.next(state, event as never), events: state => specification.events(state) as never, serialize: state => JSON.stringify(state), holds: state => specification.holds(state) })
+  return explore({ initial: INITIAL_TASK, next: (state, event) => specification.next(state, event as never), events: state => specification.events(state) as never, serialize: state => JSON.stringify(state), invariantHolds: state => specification.holds(state) })
 }
 
 function assertHolds (found: Exploration<unknown>, report: (line: string) => void): void {
