--- a/spec/configurationSpecification.ts
+++ b/spec/configurationSpecification.ts
@@ -63,7 +63,7 @@
   constructor (readonly bounds: ConfigurationBounds) {}
 
   /** No reader reverts, and every revision in force anywhere is the one that the log has decided. */
-  holds (state: ConfigurationState): boolean {
+  invariantHolds (state: ConfigurationState): boolean {
     const texts = decidedTexts(state.log)
     return !state.reverted && state.readers.every(reader => {
       const { revision, text } = reader.inForce
--- a/test/spec/modelCheck.test.ts
+++ b/test/spec/modelCheck.test.ts
@@ -49,7 +49,7 @@
 
 function exploreConfiguration (bounds: ConfigurationBounds): Exploration<unknown> {
   const specification = new ConfigurationSpecification(bounds)
-  return explore({ initial: INITIAL_CONFIGURATION, next: (state, event) => specification.next(state, event as never), events: state => specification.events(state) as never, serialize: serializeConfiguration, invariantHolds: state => specification.holds(state) })
+  return explore({ initial: INITIAL_CONFIGURATION, next: (state, event) => specification.next(state, event as never), events: state => specification.events(state) as never, serialize: serializeConfiguration, invariantHolds: state => specification.invariantHolds(state) })
 }
 
 function exploreTask (bounds: TaskBounds): Exploration<unknown> {
