--- a/spec/configurationSpecification.ts
+++ b/spec/configurationSpecification.ts
@@ -21,7 +21,7 @@
 
 /** One reader of the stream. */
 export interface ReaderState {
-  readonly read: number
+  readonly nextOffset: number
   readonly decided: number
   readonly truncated: boolean
   /** Publish records read while truncated, for the replay after a restated text. */
@@ -47,7 +47,7 @@
   | { readonly type: 'relay', readonly at: number, readonly to: number }
   | { readonly type: 'truncate' }
 
-const FRESH: ReaderState = { read: 0, decided: 0, truncated: false, undecided: [], from: 0, inForce: { revision: 0, text: -1 } }
+const FRESH: ReaderState = { nextOffset: 0, decided: 0, truncated: false, undecided: [], from: 0, inForce: { revision: 0, text: -1 } }
 const READERS = 2
 
 export const INITIAL_CONFIGURATION: ConfigurationState = { log: [], retainedFrom: 0, readers: Array.from({ length: READERS }, () => FRESH), restarts: 0, reverted: false }
@@ -68,7 +68,7 @@
     return !state.reverted && state.readers.every(reader => {
       const { revision, text } = reader.inForce
       if (revision > 0 && texts[revision - 1] !== text) return false
-      return reader.truncated || reader.read < state.log.length || reader.decided === texts.length
+      return reader.truncated || reader.nextOffset < state.log.length || reader.decided === texts.length
     })
   }
 
@@ -80,7 +80,7 @@
       for (const base of [decided, decided - 1]) if (base >= 0) events.push({ type: 'publish', base })
     }
     state.readers.forEach((reader, at) => {
-      if (reader.read < state.log.length) events.push({ type: 'read', at })
+      if (reader.nextOffset < state.log.length) events.push({ type: 'read', at })
       if (count('restated') < this.bounds.restatements && !reader.truncated && reader.decided > 0 && reader.inForce.revision === reader.decided) events.push({ type: 'restate', at })
       if (state.restarts < this.bounds.restarts) events.push({ type: 'restart', at })
       events.push({ type: 'relay', at, to: 1 - at })
@@ -94,7 +94,7 @@
       case 'publish':
         return { ...state, log: [...state.log, { kind: 'published', base: event.base, text: state.log.length }] }
       case 'restate': {
-        const { inForce, read } = state.readers[event.at] as ReaderState
+        const { inForce, nextOffset: read } = state.readers[event.at] as ReaderState
         return { ...state, log: [...state.log, { kind: 'restated', ...inForce, through: read }] }
       }
       case 'truncate':
@@ -116,10 +116,10 @@
   }
 
   private read (state: ConfigurationState, old: ReaderState): ReaderState {
-    const truncated = old.read < state.retainedFrom
-    const offset = Math.max(old.read, state.retainedFrom)
+    const truncated = old.nextOffset < state.retainedFrom
+    const offset = Math.max(old.nextOffset, state.retainedFrom)
     const reader = truncated ? { ...old, truncated, undecided: [], from: offset } : old
-    return { ...this.decide(reader, state.log[offset] as ConfigurationRecord, offset), read: offset + 1 }
+    return { ...this.decide(reader, state.log[offset] as ConfigurationRecord, offset), nextOffset: offset + 1 }
   }
 
   private decide (reader: ReaderState, record: ConfigurationRecord, offset: number): ReaderState {
