--- a/spec/configurationSpecification.ts
+++ b/spec/configurationSpecification.ts
@@ -27,7 +27,7 @@
   /** Publish records read while truncated, for the replay after a restated text. */
   readonly undecided: ReadonlyArray<{ readonly base: number, readonly text: number, readonly offset: number }>
   /** First offset that this reader has read without a gap. */
-  readonly from: number
+  readonly contiguousFrom: number
   readonly inForce: Revision
 }
 
@@ -47,7 +47,7 @@
   | { readonly type: 'relay', readonly at: number, readonly to: number }
   | { readonly type: 'truncate' }
 
-const FRESH: ReaderState = { nextOffset: 0, decided: 0, truncated: false, undecided: [], from: 0, inForce: { revision: 0, text: -1 } }
+const FRESH: ReaderState = { nextOffset: 0, decided: 0, truncated: false, undecided: [], contiguousFrom: 0, inForce: { revision: 0, text: -1 } }
 const READERS = 2
 
 export const INITIAL_CONFIGURATION: ConfigurationState = { log: [], retainedFrom: 0, readers: Array.from({ length: READERS }, () => FRESH), restarts: 0, reverted: false }
@@ -124,7 +124,7 @@
 
   private decide (reader: ReaderState, record: ConfigurationRecord, offset: number): ReaderState {
     if (record.kind === 'restated') {
-      const gap = record.through < reader.from && this.bounds.fault !== 'replayWithoutPosition'
+      const gap = record.through < reader.contiguousFrom && this.bounds.fault !== 'replayWithoutPosition'
       return reader.truncated && !gap ? this.replay(reader, record) : reader
     }
     if (this.bounds.fault === 'greatestOffset') return putInForce({ ...reader, decided: reader.decided + 1 }, { revision: reader.decided + 1, text: record.text })
