--- a/spec/configurationSpecification.ts
+++ b/spec/configurationSpecification.ts
@@ -22,7 +22,7 @@
 /** One reader of the stream. */
 export interface ReaderState {
   readonly nextOffset: number
-  readonly decided: number
+  readonly decidedRevision: number
   readonly truncated: boolean
   /** Publish records read while truncated, for the replay after a restated text. */
   readonly undecided: ReadonlyArray<{ readonly base: number, readonly text: number, readonly offset: number }>
@@ -47,7 +47,7 @@
   | { readonly type: 'relay', readonly at: number, readonly to: number }
   | { readonly type: 'truncate' }
 
-const FRESH: ReaderState = { nextOffset: 0, decided: 0, truncated: false, undecided: [], contiguousFrom: 0, inForce: { revision: 0, text: -1 } }
+const FRESH: ReaderState = { nextOffset: 0, decidedRevision: 0, truncated: false, undecided: [], contiguousFrom: 0, inForce: { revision: 0, text: -1 } }
 const READERS = 2
 
 export const INITIAL_CONFIGURATION: ConfigurationState = { log: [], retainedFrom: 0, readers: Array.from({ length: READERS }, () => FRESH), restarts: 0, reverted: false }
@@ -68,7 +68,7 @@
     return !state.reverted && state.readers.every(reader => {
       const { revision, text } = reader.inForce
       if (revision > 0 && texts[revision - 1] !== text) return false
-      return reader.truncated || reader.nextOffset < state.log.length || reader.decided === texts.length
+      return reader.truncated || reader.nextOffset < state.log.length || reader.decidedRevision === texts.length
     })
   }
 
@@ -81,7 +81,7 @@
     }
     state.readers.forEach((reader, at) => {
       if (reader.nextOffset < state.log.length) events.push({ type: 'read', at })
-      if (count('restated') < this.bounds.restatements && !reader.truncated && reader.decided > 0 && reader.inForce.revision === reader.decided) events.push({ type: 'restate', at })
+      if (count('restated') < this.bounds.restatements && !reader.truncated && reader.decidedRevision > 0 && reader.inForce.revision === reader.decidedRevision) events.push({ type: 'restate', at })
       if (state.restarts < this.bounds.restarts) events.push({ type: 'restart', at })
       events.push({ type: 'relay', at, to: 1 - at })
     })
@@ -127,18 +127,18 @@
       const gap = record.through < reader.contiguousFrom && this.bounds.fault !== 'replayWithoutPosition'
       return reader.truncated && !gap ? this.replay(reader, record) : reader
     }
-    if (this.bounds.fault === 'greatestOffset') return putInForce({ ...reader, decided: reader.decided + 1 }, { revision: reader.decided + 1, text: record.text })
+    if (this.bounds.fault === 'greatestOffset') return putInForce({ ...reader, decidedRevision: reader.decidedRevision + 1 }, { revision: reader.decidedRevision + 1, text: record.text })
     if (reader.truncated) return { ...reader, undecided: [...reader.undecided, { ...record, offset }] }
-    if (record.base !== reader.decided) return reader
-    return putInForce({ ...reader, decided: record.base + 1 }, { revision: record.base + 1, text: record.text })
+    if (record.base !== reader.decidedRevision) return reader
+    return putInForce({ ...reader, decidedRevision: record.base + 1 }, { revision: record.base + 1, text: record.text })
   }
 
   private replay (reader: ReaderState, restated: Revision & { readonly through: number }): ReaderState {
-    let next = putInForce({ ...reader, truncated: false, undecided: [], decided: restated.revision }, { revision: restated.revision, text: restated.text })
+    let next = putInForce({ ...reader, truncated: false, undecided: [], decidedRevision: restated.revision }, { revision: restated.revision, text: restated.text })
     if (this.bounds.fault === 'noReplayAfterRestated') return next
     for (const record of reader.undecided) {
       if (record.offset < restated.through && this.bounds.fault !== 'replayWithoutPosition') continue
-      if (record.base === next.decided) next = putInForce({ ...next, decided: record.base + 1 }, { revision: record.base + 1, text: record.text })
+      if (record.base === next.decidedRevision) next = putInForce({ ...next, decidedRevision: record.base + 1 }, { revision: record.base + 1, text: record.text })
     }
     return next
   }
