--- a/spec/taskSpecification.ts
+++ b/spec/taskSpecification.ts
@@ -69,7 +69,7 @@
   constructor (readonly bounds: TaskBounds) {}
 
   /** The task never runs in two places. */
-  holds (state: TaskState): boolean {
+  invariantHolds (state: TaskState): boolean {
     return state.workers.filter(worker => worker.running > 0).length <= 1
   }
 
--- a/test/spec/modelCheck.test.ts
+++ b/test/spec/modelCheck.test.ts
@@ -54,7 +54,7 @@
 
 function exploreTask (bounds: TaskBounds): Exploration<unknown> {
   const specification = new TaskSpecification(bounds)
-  return explore({ initial: INITIAL_TASK, next: (state, event) => specification.next(state, event as never), events: state => specification.events(state) as never, serialize: state => JSON.stringify(state), invariantHolds: state => specification.holds(state) })
+  return explore({ initial: INITIAL_TASK, next: (state, event) => specification.next(state, event as never), events: state => specification.events(state) as never, serialize: state => JSON.stringify(state), invariantHolds: state => specification.invariantHolds(state) })
 }
 
 function assertHolds (found: Exploration<unknown>, report: (line: string) => void): void {
