--- a/spec/taskSpecification.ts
+++ b/spec/taskSpecification.ts
@@ -18,7 +18,7 @@
 interface Command {
   readonly worker: number
   readonly term: number
-  readonly left: number
+  readonly remainingTicks: number
   readonly start: boolean
 }
 
@@ -118,7 +118,7 @@
     const lease = this.bounds.fault === 'taskLeaseOutlivesWait' ? 0 : TASK_LEASE_TICKS
     const own = { placed: worker, unknownFor: COMMAND_LIFE_TICKS + lease + MARGIN_TICKS }
     const owners: [OwnerState, OwnerState] = owner === 0 ? [own, state.owners[1]] : [state.owners[0], own]
-    return { ...state, owners, commands: [...state.commands, { worker, term: owner + 1, left: COMMAND_LIFE_TICKS, start }] }
+    return { ...state, owners, commands: [...state.commands, { worker, term: owner + 1, remainingTicks: COMMAND_LIFE_TICKS, start }] }
   }
 
   private deliver (state: TaskState, index: number): TaskState {
@@ -148,7 +148,7 @@
       commandsOfFirst: state.takeover === 0 ? down(state.commandsOfFirst) : state.commandsOfFirst,
       workers: state.workers.map(worker => ({ ...worker, running: down(worker.running) })),
       owners: [ageOwner(state.owners[0]), state.takeover === 0 ? ageOwner(state.owners[1]) : state.owners[1]],
-      commands: state.commands.filter(command => command.left > 0).map(command => ({ ...command, left: command.left - 1 }))
+      commands: state.commands.filter(command => command.remainingTicks > 0).map(command => ({ ...command, left: command.remainingTicks - 1 }))
     }
   }
 }
