--- a/spec/taskSpecification.ts
+++ b/spec/taskSpecification.ts
@@ -19,7 +19,7 @@
   readonly worker: number
   readonly term: number
   readonly remainingTicks: number
-  readonly start: boolean
+  readonly isStart: boolean
 }
 
 interface WorkerState {
@@ -118,7 +118,7 @@
     const lease = this.bounds.fault === 'taskLeaseOutlivesWait' ? 0 : TASK_LEASE_TICKS
     const own = { placed: worker, unknownFor: COMMAND_LIFE_TICKS + lease + MARGIN_TICKS }
     const owners: [OwnerState, OwnerState] = owner === 0 ? [own, state.owners[1]] : [state.owners[0], own]
-    return { ...state, owners, commands: [...state.commands, { worker, term: owner + 1, remainingTicks: COMMAND_LIFE_TICKS, start }] }
+    return { ...state, owners, commands: [...state.commands, { worker, term: owner + 1, remainingTicks: COMMAND_LIFE_TICKS, isStart: start }] }
   }
 
   private deliver (state: TaskState, index: number): TaskState {
@@ -126,7 +126,7 @@
     const rest = { ...state, commands: state.commands.filter((_, other) => other !== index) }
     const worker = state.workers[command.worker] as WorkerState
     const refused = this.bounds.checksTerms[command.worker] === true && command.term < worker.term
-    if (refused || (!command.start && worker.running === 0)) return rest
+    if (refused || (!command.isStart && worker.running === 0)) return rest
     return { ...rest, workers: replaceAt(state.workers, command.worker, { running: TASK_LEASE_TICKS, term: Math.max(worker.term, command.term) }) }
   }
 
