--- a/spec/taskSpecification.ts
+++ b/spec/taskSpecification.ts
@@ -24,7 +24,7 @@
 
 interface WorkerState {
   /** Ticks until the task's lease lapses; 0 if the task does not run. */
-  readonly running: number
+  readonly leaseTicks: number
   readonly term: number
 }
 
@@ -59,7 +59,7 @@
   lease: OWNER_LEASE_TICKS,
   takeover: OWNER_LEASE_TICKS + MARGIN_TICKS,
   commandsOfFirst: COMMAND_LIFE_TICKS,
-  workers: [{ running: 0, term: 1 }, { running: 0, term: 1 }],
+  workers: [{ leaseTicks: 0, term: 1 }, { leaseTicks: 0, term: 1 }],
   owners: [{ placed: -1, unknownFor: 0 }, { placed: -1, unknownFor: COMMAND_LIFE_TICKS + TASK_LEASE_TICKS + MARGIN_TICKS }],
   empty: [false, false],
   commands: []
@@ -70,7 +70,7 @@
 
   /** The task never runs in two places. */
   invariantHolds (state: TaskState): boolean {
-    return state.workers.filter(worker => worker.running > 0).length <= 1
+    return state.workers.filter(worker => worker.leaseTicks > 0).length <= 1
   }
 
   events (state: TaskState): TaskEvent[] {
@@ -126,15 +126,15 @@
     const rest = { ...state, commands: state.commands.filter((_, other) => other !== index) }
     const worker = state.workers[command.worker] as WorkerState
     const refused = this.bounds.checksTerms[command.worker] === true && command.term < worker.term
-    if (refused || (!command.isStart && worker.running === 0)) return rest
-    return { ...rest, workers: replaceAt(state.workers, command.worker, { running: TASK_LEASE_TICKS, term: Math.max(worker.term, command.term) }) }
+    if (refused || (!command.isStart && worker.leaseTicks === 0)) return rest
+    return { ...rest, workers: replaceAt(state.workers, command.worker, { leaseTicks: TASK_LEASE_TICKS, term: Math.max(worker.term, command.term) }) }
   }
 
   /** The second owner asks a worker what it runs; a worker that checks terms refuses the first owner from then on. */
   private takeInventory (state: TaskState, at: number): TaskState {
     const worker = state.workers[at] as WorkerState
     const fenced = this.bounds.checksTerms[at] === true || state.commandsOfFirst === 0 || this.bounds.fault === 'trustsEarlyInventory'
-    const empty = replaceAt(state.empty, at, fenced && worker.running === 0 && (state.owners[1]).placed < 0)
+    const empty = replaceAt(state.empty, at, fenced && worker.leaseTicks === 0 && (state.owners[1]).placed < 0)
     return { ...state, empty, workers: replaceAt(state.workers, at, { ...worker, term: 2 }) }
   }
 
@@ -146,7 +146,7 @@
       lease: down(state.lease),
       takeover: down(state.takeover),
       commandsOfFirst: state.takeover === 0 ? down(state.commandsOfFirst) : state.commandsOfFirst,
-      workers: state.workers.map(worker => ({ ...worker, running: down(worker.running) })),
+      workers: state.workers.map(worker => ({ ...worker, running: down(worker.leaseTicks) })),
       owners: [ageOwner(state.owners[0]), state.takeover === 0 ? ageOwner(state.owners[1]) : state.owners[1]],
       commands: state.commands.filter(command => command.remainingTicks > 0).map(command => ({ ...command, left: command.remainingTicks - 1 }))
     }
