--- a/spec/taskSpecification.ts
+++ b/spec/taskSpecification.ts
@@ -30,7 +30,7 @@
 
 interface OwnerState {
   /** Worker with the attempt of this term, or -1. */
-  readonly placed: number
+  readonly placedOn: number
   /** Ticks until an attempt elsewhere, seen or not, has certainly ended. */
   readonly unknownFor: number
 }
@@ -60,7 +60,7 @@
   takeover: OWNER_LEASE_TICKS + MARGIN_TICKS,
   commandsOfFirst: COMMAND_LIFE_TICKS,
   workers: [{ leaseTicks: 0, term: 1 }, { leaseTicks: 0, term: 1 }],
-  owners: [{ placed: -1, unknownFor: 0 }, { placed: -1, unknownFor: COMMAND_LIFE_TICKS + TASK_LEASE_TICKS + MARGIN_TICKS }],
+  owners: [{ placedOn: -1, unknownFor: 0 }, { placedOn: -1, unknownFor: COMMAND_LIFE_TICKS + TASK_LEASE_TICKS + MARGIN_TICKS }],
   empty: [false, false],
   commands: []
 }
@@ -78,7 +78,7 @@
     state.commands.forEach((_, index) => events.push({ type: 'deliver', index }, { type: 'drop', index }))
     for (const owner of [0, 1] as const) {
       if (!this.acts(state, owner) || state.commands.length >= MAXIMUM_COMMANDS) continue
-      if ((state.owners[owner] as OwnerState).placed >= 0) events.push({ type: 'renew', owner })
+      if ((state.owners[owner] as OwnerState).placedOn >= 0) events.push({ type: 'renew', owner })
       for (const worker of [0, 1]) if (this.mayStart(state, owner, worker)) events.push({ type: 'start', owner, worker })
     }
     if (this.acts(state, 1)) for (const worker of [0, 1]) events.push({ type: 'inventory', worker })
@@ -92,7 +92,7 @@
       case 'start':
         return this.send({ ...state, empty: [false, false] }, event.owner, event.worker, true)
       case 'renew':
-        return this.send(state, event.owner, (state.owners[event.owner] as OwnerState).placed, false)
+        return this.send(state, event.owner, (state.owners[event.owner] as OwnerState).placedOn, false)
       case 'drop':
         return { ...state, commands: state.commands.filter((_, index) => index !== event.index) }
       case 'deliver':
@@ -109,9 +109,9 @@
   private mayStart (state: TaskState, owner: 0 | 1, worker: number): boolean {
     const own = state.owners[owner] as OwnerState
     if (this.bounds.fault === 'noWaitForUnknownStart') return true
-    if (own.placed === worker) return false
+    if (own.placedOn === worker) return false
     if (own.unknownFor === 0) return true
-    return owner === 1 && own.placed < 0 && state.empty.every(empty => empty)
+    return owner === 1 && own.placedOn < 0 && state.empty.every(empty => empty)
   }
 
   private send (state: TaskState, owner: 0 | 1, worker: number, start: boolean): TaskState {
@@ -134,7 +134,7 @@
   private takeInventory (state: TaskState, at: number): TaskState {
     const worker = state.workers[at] as WorkerState
     const fenced = this.bounds.checksTerms[at] === true || state.commandsOfFirst === 0 || this.bounds.fault === 'trustsEarlyInventory'
-    const empty = replaceAt(state.empty, at, fenced && worker.leaseTicks === 0 && (state.owners[1]).placed < 0)
+    const empty = replaceAt(state.empty, at, fenced && worker.leaseTicks === 0 && (state.owners[1]).placedOn < 0)
     return { ...state, empty, workers: replaceAt(state.workers, at, { ...worker, term: 2 }) }
   }
 
