--- a/spec/taskSpecification.ts
+++ b/spec/taskSpecification.ts
@@ -32,7 +32,7 @@
   /** Worker with the attempt of this term, or -1. */
   readonly placedOn: number
   /** Ticks until an attempt elsewhere, seen or not, has certainly ended. */
-  readonly unknownFor: number
+  readonly uncertainTicks: number
 }
 
 export interface TaskState {
@@ -60,7 +60,7 @@
   takeover: OWNER_LEASE_TICKS + MARGIN_TICKS,
   commandsOfFirst: COMMAND_LIFE_TICKS,
   workers: [{ leaseTicks: 0, term: 1 }, { leaseTicks: 0, term: 1 }],
-  owners: [{ placedOn: -1, unknownFor: 0 }, { placedOn: -1, unknownFor: COMMAND_LIFE_TICKS + TASK_LEASE_TICKS + MARGIN_TICKS }],
+  owners: [{ placedOn: -1, uncertainTicks: 0 }, { placedOn: -1, uncertainTicks: COMMAND_LIFE_TICKS + TASK_LEASE_TICKS + MARGIN_TICKS }],
   empty: [false, false],
   commands: []
 }
@@ -110,7 +110,7 @@
     const own = state.owners[owner] as OwnerState
     if (this.bounds.fault === 'noWaitForUnknownStart') return true
     if (own.placedOn === worker) return false
-    if (own.unknownFor === 0) return true
+    if (own.uncertainTicks === 0) return true
     return owner === 1 && own.placedOn < 0 && state.empty.every(empty => empty)
   }
 
@@ -140,7 +140,7 @@
 
   private tick (state: TaskState): TaskState {
     const down = (ticks: number): number => Math.max(0, ticks - 1)
-    const ageOwner = (owner: OwnerState): OwnerState => ({ ...owner, unknownFor: down(owner.unknownFor) })
+    const ageOwner = (owner: OwnerState): OwnerState => ({ ...owner, uncertainTicks: down(owner.uncertainTicks) })
     return {
       ...state,
       lease: down(state.lease),
