--- a/spec/taskSpecification.ts
+++ b/spec/taskSpecification.ts
@@ -36,7 +36,7 @@
 }
 
 export interface TaskState {
-  readonly lease: number
+  readonly firstOwnerLeaseTicks: number
   /** Ticks until the second owner may act. */
   readonly takeover: number
   /** Ticks since takeover until no command of the first owner can arrive. */
@@ -56,7 +56,7 @@
   | { readonly type: 'inventory', readonly worker: number }
 
 export const INITIAL_TASK: TaskState = {
-  lease: OWNER_LEASE_TICKS,
+  firstOwnerLeaseTicks: OWNER_LEASE_TICKS,
   takeover: OWNER_LEASE_TICKS + MARGIN_TICKS,
   commandsOfFirst: COMMAND_LIFE_TICKS,
   workers: [{ leaseTicks: 0, term: 1 }, { leaseTicks: 0, term: 1 }],
@@ -103,7 +103,7 @@
   }
 
   private acts (state: TaskState, owner: 0 | 1): boolean {
-    return owner === 0 ? state.lease > 0 : state.takeover === 0
+    return owner === 0 ? state.firstOwnerLeaseTicks > 0 : state.takeover === 0
   }
 
   private mayStart (state: TaskState, owner: 0 | 1, worker: number): boolean {
@@ -143,7 +143,7 @@
     const ageOwner = (owner: OwnerState): OwnerState => ({ ...owner, uncertainTicks: down(owner.uncertainTicks) })
     return {
       ...state,
-      lease: down(state.lease),
+      firstOwnerLeaseTicks: down(state.firstOwnerLeaseTicks),
       takeover: down(state.takeover),
       commandsOfFirst: state.takeover === 0 ? down(state.commandsOfFirst) : state.commandsOfFirst,
       workers: state.workers.map(worker => ({ ...worker, running: down(worker.leaseTicks) })),
