--- a/spec/taskSpecification.ts
+++ b/spec/taskSpecification.ts
@@ -38,7 +38,7 @@
 export interface TaskState {
   readonly firstOwnerLeaseTicks: number
   /** Ticks until the second owner may act. */
-  readonly takeover: number
+  readonly takeoverTicks: number
   /** Ticks since takeover until no command of the first owner can arrive. */
   readonly commandsOfFirst: number
   readonly workers: readonly WorkerState[]
@@ -57,7 +57,7 @@
 
 export const INITIAL_TASK: TaskState = {
   firstOwnerLeaseTicks: OWNER_LEASE_TICKS,
-  takeover: OWNER_LEASE_TICKS + MARGIN_TICKS,
+  takeoverTicks: OWNER_LEASE_TICKS + MARGIN_TICKS,
   commandsOfFirst: COMMAND_LIFE_TICKS,
   workers: [{ leaseTicks: 0, term: 1 }, { leaseTicks: 0, term: 1 }],
   owners: [{ placedOn: -1, uncertainTicks: 0 }, { placedOn: -1, uncertainTicks: COMMAND_LIFE_TICKS + TASK_LEASE_TICKS + MARGIN_TICKS }],
@@ -103,7 +103,7 @@
   }
 
   private acts (state: TaskState, owner: 0 | 1): boolean {
-    return owner === 0 ? state.firstOwnerLeaseTicks > 0 : state.takeover === 0
+    return owner === 0 ? state.firstOwnerLeaseTicks > 0 : state.takeoverTicks === 0
   }
 
   private mayStart (state: TaskState, owner: 0 | 1, worker: number): boolean {
@@ -144,10 +144,10 @@
     return {
       ...state,
       firstOwnerLeaseTicks: down(state.firstOwnerLeaseTicks),
-      takeover: down(state.takeover),
-      commandsOfFirst: state.takeover === 0 ? down(state.commandsOfFirst) : state.commandsOfFirst,
+      takeoverTicks: down(state.takeoverTicks),
+      commandsOfFirst: state.takeoverTicks === 0 ? down(state.commandsOfFirst) : state.commandsOfFirst,
       workers: state.workers.map(worker => ({ ...worker, running: down(worker.leaseTicks) })),
-      owners: [ageOwner(state.owners[0]), state.takeover === 0 ? ageOwner(state.owners[1]) : state.owners[1]],
+      owners: [ageOwner(state.owners[0]), state.takeoverTicks === 0 ? ageOwner(state.owners[1]) : state.owners[1]],
       commands: state.commands.filter(command => command.remainingTicks > 0).map(command => ({ ...command, left: command.remainingTicks - 1 }))
     }
   }
