--- a/spec/taskSpecification.ts
+++ b/spec/taskSpecification.ts
@@ -40,7 +40,7 @@
   /** Ticks until the second owner may act. */
   readonly takeoverTicks: number
   /** Ticks since takeover until no command of the first owner can arrive. */
-  readonly commandsOfFirst: number
+  readonly firstOwnerCommandTicks: number
   readonly workers: readonly WorkerState[]
   readonly owners: readonly [OwnerState, OwnerState]
   /** For each worker whether the second owner knows that the task cannot run there. */
@@ -58,7 +58,7 @@
 export const INITIAL_TASK: TaskState = {
   firstOwnerLeaseTicks: OWNER_LEASE_TICKS,
   takeoverTicks: OWNER_LEASE_TICKS + MARGIN_TICKS,
-  commandsOfFirst: COMMAND_LIFE_TICKS,
+  firstOwnerCommandTicks: COMMAND_LIFE_TICKS,
   workers: [{ leaseTicks: 0, term: 1 }, { leaseTicks: 0, term: 1 }],
   owners: [{ placedOn: -1, uncertainTicks: 0 }, { placedOn: -1, uncertainTicks: COMMAND_LIFE_TICKS + TASK_LEASE_TICKS + MARGIN_TICKS }],
   empty: [false, false],
@@ -133,7 +133,7 @@
   /** The second owner asks a worker what it runs; a worker that checks terms refuses the first owner from then on. */
   private takeInventory (state: TaskState, at: number): TaskState {
     const worker = state.workers[at] as WorkerState
-    const fenced = this.bounds.checksTerms[at] === true || state.commandsOfFirst === 0 || this.bounds.fault === 'trustsEarlyInventory'
+    const fenced = this.bounds.checksTerms[at] === true || state.firstOwnerCommandTicks === 0 || this.bounds.fault === 'trustsEarlyInventory'
     const empty = replaceAt(state.empty, at, fenced && worker.leaseTicks === 0 && (state.owners[1]).placedOn < 0)
     return { ...state, empty, workers: replaceAt(state.workers, at, { ...worker, term: 2 }) }
   }
@@ -145,7 +145,7 @@
       ...state,
       firstOwnerLeaseTicks: down(state.firstOwnerLeaseTicks),
       takeoverTicks: down(state.takeoverTicks),
-      commandsOfFirst: state.takeoverTicks === 0 ? down(state.commandsOfFirst) : state.commandsOfFirst,
+      firstOwnerCommandTicks: state.takeoverTicks === 0 ? down(state.firstOwnerCommandTicks) : state.firstOwnerCommandTicks,
       workers: state.workers.map(worker => ({ ...worker, running: down(worker.leaseTicks) })),
       owners: [ageOwner(state.owners[0]), state.takeoverTicks === 0 ? ageOwner(state.owners[1]) : state.owners[1]],
       commands: state.commands.filter(command => command.remainingTicks > 0).map(command => ({ ...command, left: command.remainingTicks - 1 }))
