--- a/spec/taskSpecification.ts
+++ b/spec/taskSpecification.ts
@@ -44,7 +44,7 @@
   readonly workers: readonly WorkerState[]
   readonly owners: readonly [OwnerState, OwnerState]
   /** For each worker whether the second owner knows that the task cannot run there. */
-  readonly empty: readonly boolean[]
+  readonly knownIdle: readonly boolean[]
   readonly commands: readonly Command[]
 }
 
@@ -61,7 +61,7 @@
   firstOwnerCommandTicks: COMMAND_LIFE_TICKS,
   workers: [{ leaseTicks: 0, term: 1 }, { leaseTicks: 0, term: 1 }],
   owners: [{ placedOn: -1, uncertainTicks: 0 }, { placedOn: -1, uncertainTicks: COMMAND_LIFE_TICKS + TASK_LEASE_TICKS + MARGIN_TICKS }],
-  empty: [false, false],
+  knownIdle: [false, false],
   commands: []
 }
 
@@ -90,7 +90,7 @@
       case 'tick':
         return this.tick(state)
       case 'start':
-        return this.send({ ...state, empty: [false, false] }, event.owner, event.worker, true)
+        return this.send({ ...state, knownIdle: [false, false] }, event.owner, event.worker, true)
       case 'renew':
         return this.send(state, event.owner, (state.owners[event.owner] as OwnerState).placedOn, false)
       case 'drop':
@@ -111,7 +111,7 @@
     if (this.bounds.fault === 'noWaitForUnknownStart') return true
     if (own.placedOn === worker) return false
     if (own.uncertainTicks === 0) return true
-    return owner === 1 && own.placedOn < 0 && state.empty.every(empty => empty)
+    return owner === 1 && own.placedOn < 0 && state.knownIdle.every(empty => empty)
   }
 
   private send (state: TaskState, owner: 0 | 1, worker: number, start: boolean): TaskState {
@@ -134,8 +134,8 @@
   private takeInventory (state: TaskState, at: number): TaskState {
     const worker = state.workers[at] as WorkerState
     const fenced = this.bounds.checksTerms[at] === true || state.firstOwnerCommandTicks === 0 || this.bounds.fault === 'trustsEarlyInventory'
-    const empty = replaceAt(state.empty, at, fenced && worker.leaseTicks === 0 && (state.owners[1]).placedOn < 0)
-    return { ...state, empty, workers: replaceAt(state.workers, at, { ...worker, term: 2 }) }
+    const empty = replaceAt(state.knownIdle, at, fenced && worker.leaseTicks === 0 && (state.owners[1]).placedOn < 0)
+    return { ...state, knownIdle: empty, workers: replaceAt(state.workers, at, { ...worker, term: 2 }) }
   }
 
   private tick (state: TaskState): TaskState {
