--- a/spec/taskSpecification.ts
+++ b/spec/taskSpecification.ts
@@ -77,11 +77,11 @@
     const events: TaskEvent[] = [{ type: 'tick' }]
     state.commands.forEach((_, index) => events.push({ type: 'deliver', index }, { type: 'drop', index }))
     for (const owner of [0, 1] as const) {
-      if (!this.acts(state, owner) || state.commands.length >= MAXIMUM_COMMANDS) continue
+      if (!this.mayAct(state, owner) || state.commands.length >= MAXIMUM_COMMANDS) continue
       if ((state.owners[owner] as OwnerState).placedOn >= 0) events.push({ type: 'renew', owner })
       for (const worker of [0, 1]) if (this.mayStart(state, owner, worker)) events.push({ type: 'start', owner, worker })
     }
-    if (this.acts(state, 1)) for (const worker of [0, 1]) events.push({ type: 'inventory', worker })
+    if (this.mayAct(state, 1)) for (const worker of [0, 1]) events.push({ type: 'inventory', worker })
     return events
   }
 
@@ -102,7 +102,7 @@
     }
   }
 
-  private acts (state: TaskState, owner: 0 | 1): boolean {
+  private mayAct (state: TaskState, owner: 0 | 1): boolean {
     return owner === 0 ? state.firstOwnerLeaseTicks > 0 : state.takeoverTicks === 0
   }
 
