--- a/spec/taskSpecification.ts
+++ b/spec/taskSpecification.ts
@@ -90,9 +90,9 @@
       case 'tick':
         return this.tick(state)
       case 'start':
-        return this.send({ ...state, knownIdle: [false, false] }, event.owner, event.worker, true)
+        return this.sendCommand({ ...state, knownIdle: [false, false] }, event.owner, event.worker, true)
       case 'renew':
-        return this.send(state, event.owner, (state.owners[event.owner] as OwnerState).placedOn, false)
+        return this.sendCommand(state, event.owner, (state.owners[event.owner] as OwnerState).placedOn, false)
       case 'drop':
         return { ...state, commands: state.commands.filter((_, index) => index !== event.index) }
       case 'deliver':
@@ -114,7 +114,7 @@
     return owner === 1 && own.placedOn < 0 && state.knownIdle.every(empty => empty)
   }
 
-  private send (state: TaskState, owner: 0 | 1, worker: number, start: boolean): TaskState {
+  private sendCommand (state: TaskState, owner: 0 | 1, worker: number, start: boolean): TaskState {
     const lease = this.bounds.fault === 'taskLeaseOutlivesWait' ? 0 : TASK_LEASE_TICKS
     const own = { placed: worker, unknownFor: COMMAND_LIFE_TICKS + lease + MARGIN_TICKS }
     const owners: [OwnerState, OwnerState] = owner === 0 ? [own, state.owners[1]] : [state.owners[0], own]
