--- a/spec/taskSpecification.ts
+++ b/spec/taskSpecification.ts
@@ -96,7 +96,7 @@
       case 'drop':
         return { ...state, commands: state.commands.filter((_, index) => index !== event.index) }
       case 'deliver':
-        return this.deliver(state, event.index)
+        return this.deliverCommand(state, event.index)
       case 'inventory':
         return this.takeInventory(state, event.worker)
     }
@@ -121,7 +121,7 @@
     return { ...state, owners, commands: [...state.commands, { worker, term: owner + 1, remainingTicks: COMMAND_LIFE_TICKS, isStart: start }] }
   }
 
-  private deliver (state: TaskState, index: number): TaskState {
+  private deliverCommand (state: TaskState, index: number): TaskState {
     const command = state.commands[index] as Command
     const rest = { ...state, commands: state.commands.filter((_, other) => other !== index) }
     const worker = state.workers[command.worker] as WorkerState
