--- a/spec/ownershipSpecification.ts
+++ b/spec/ownershipSpecification.ts
@@ -24,7 +24,7 @@
   /** Renewals of one owner that are not confirmed. */
   readonly unconfirmed: number
   /** Records of one instance on their way to the log. */
-  readonly flights: number
+  readonly inFlight: number
   readonly terms: number
   /** Instances from this one on neither renew nor ask for promises; in the last term they count as owner as soon as they may act. */
   readonly passiveFrom: number
@@ -241,7 +241,7 @@
 
   /** A record in flight that is not delivered any more is lost; the oldest goes first. */
   private launch (self: InstanceState, record: OwnershipLogRecord): OwnershipLogRecord[] {
-    return [...self.flight, record].slice(-this.bounds.flights)
+    return [...self.flight, record].slice(-this.bounds.inFlight)
   }
 
   private lastNumber (state: OwnershipState, at: number): number {
--- a/test/spec/conformance.test.ts
+++ b/test/spec/conformance.test.ts
@@ -127,7 +127,7 @@
   }
 }
 
-const BOUNDS: OwnershipBounds = { instances: 3, electors: 0b010, unread: 4, unconfirmed: 4, flights: 2, terms: 50, passiveFrom: 3, crashes: 2, releases: 2, slowClock: 0, repeatedDrift: true, outageRule: 'promises' }
+const BOUNDS: OwnershipBounds = { instances: 3, electors: 0b010, unread: 4, unconfirmed: 4, inFlight: 2, terms: 50, passiveFrom: 3, crashes: 2, releases: 2, slowClock: 0, repeatedDrift: true, outageRule: 'promises' }
 
 /** Guards against code and specification drifting apart, which would make the model check prove nothing about the code. */
 describe('Ownership does what the specification does', () => {
--- a/test/spec/modelCheck.test.ts
+++ b/test/spec/modelCheck.test.ts
@@ -5,7 +5,7 @@
 import { initialOwnershipState, OwnershipSpecification, serializeOwnership, type OwnershipBounds, type OwnershipEvent, type OwnershipFault, type OwnershipState } from '../../spec/ownershipSpecification.js'
 import { INITIAL_TASK, TaskSpecification, type TaskBounds, type TaskFault } from '../../spec/taskSpecification.js'
 
-const TWO: OwnershipBounds = { instances: 2, electors: 0b10, unread: 1, unconfirmed: 1, flights: 1, terms: 2, passiveFrom: 1, crashes: 0, releases: 0, slowClock: 0, repeatedDrift: false, outageRule: 'promises' }
+const TWO: OwnershipBounds = { instances: 2, electors: 0b10, unread: 1, unconfirmed: 1, inFlight: 1, terms: 2, passiveFrom: 1, crashes: 0, releases: 0, slowClock: 0, repeatedDrift: false, outageRule: 'promises' }
 /** Elector 1 and newcomer 2, which becomes an elector by a renewal. */
 const NEWCOMER: OwnershipBounds = { ...TWO, instances: 3, slowClock: -1, passiveFrom: 1 }
 const TWO_ELECTORS: OwnershipBounds = { ...TWO, instances: 3, electors: 0b110, passiveFrom: 1 }
@@ -14,7 +14,7 @@
 const CONFIGURATIONS: ReadonlyArray<{ readonly name: string, readonly bounds: OwnershipBounds, readonly exchangeable?: readonly [number, number] }> = [
   { name: 'two instances, both renew', bounds: { ...TWO, unread: 2, passiveFrom: 2 } },
   { name: 'two instances, drift in every lease', bounds: { ...TWO, unread: 2, repeatedDrift: true } },
-  { name: 'two instances, two renewals on their way', bounds: { ...TWO, unconfirmed: 2, flights: 2 } },
+  { name: 'two instances, two renewals on their way', bounds: { ...TWO, unconfirmed: 2, inFlight: 2 } },
   { name: 'two instances, one crash and restart, drift', bounds: { ...TWO, crashes: 1 } },
   { name: 'two instances, one release', bounds: { ...TWO, releases: 1, unread: 2 } },
   { name: 'a newcomer, renewals', bounds: NEWCOMER },
@@ -32,7 +32,7 @@
   { fault: 'confirmedElectorsOnly', bounds: NEWCOMER },
   { fault: 'claimUnderPromise', bounds: TWO },
   { fault: 'promiseAfterAbandonedClaim', bounds: { ...NEWCOMER, terms: 3, unread: 2, unconfirmed: 0 } },
-  { fault: 'renewalRevivesReleased', bounds: { ...TWO, releases: 1, flights: 2, unread: 2 } },
+  { fault: 'renewalRevivesReleased', bounds: { ...TWO, releases: 1, inFlight: 2, unread: 2 } },
   { fault: 'listDropsLivingInstances', bounds: { ...NEWCOMER, unconfirmed: 0 } }
 ]
 
@@ -80,7 +80,7 @@
   ]
   for (const fault of [undefined, 'renewalsWithoutNumber'] as const) {
     it(fault === undefined ? 'has no effect' : `finds the seeded fault ${fault}`, () => {
-      const specification = new OwnershipSpecification({ ...TWO, electors: 0, unread: 2, unconfirmed: 2, flights: 2, fault })
+      const specification = new OwnershipSpecification({ ...TWO, electors: 0, unread: 2, unconfirmed: 2, inFlight: 2, fault })
       let state = initialOwnershipState(specification.bounds)
       const impossible = TRACE.findIndex(event => {
         if (!specification.events(state).some(possible => JSON.stringify(possible) === JSON.stringify(event))) return true
