--- a/spec/ownershipSpecification.ts
+++ b/spec/ownershipSpecification.ts
@@ -42,7 +42,7 @@
 export const MARGIN_TICKS = 1
 
 export type OwnershipLogRecord =
-  | { readonly kind: 'claim', readonly by: number, readonly after: number, readonly electors: number, readonly gone: boolean }
+  | { readonly kind: 'claim', readonly by: number, readonly after: number, readonly electors: number, readonly ownerAndElectorsGone: boolean }
   | { readonly kind: 'renewal', readonly by: number, readonly term: number, readonly number: number, readonly electors: number }
   | { readonly kind: 'release', readonly by: number, readonly term: number }
 
@@ -108,7 +108,7 @@
 export function decideRecord (view: LogView, record: OwnershipLogRecord, fault?: OwnershipFault): LogView {
   switch (record.kind) {
     case 'claim':
-      if (record.after !== view.term || !(view.released || record.gone || has(view.electors, record.by))) return view
+      if (record.after !== view.term || !(view.released || record.ownerAndElectorsGone || has(view.electors, record.by))) return view
       return { term: view.term + 1, owner: record.by, released: false, electors: record.electors, lastRenewal: 0 }
     case 'renewal':
       if (record.term !== view.term || record.by !== view.owner) return view
@@ -393,7 +393,7 @@
   const { base } = state
   const text = (record: OwnershipLogRecord): string => record.kind === 'renewal'
     ? `n${record.by},${record.term - base.term},${ranks.indexOf(record.number)},${record.electors}`
-    : record.kind === 'claim' ? `c${record.by},${record.after - base.term},${record.electors},${record.gone}` : `e${record.by},${record.term - base.term}`
+    : record.kind === 'claim' ? `c${record.by},${record.after - base.term},${record.electors},${record.ownerAndElectorsGone}` : `e${record.by},${record.term - base.term}`
   const instances = state.instances.map(self => [
     self.identity, self.up, self.read, self.lease, promisesMatter ? `${self.silence},${self.promised}` : Math.max(self.silence, self.promised), self.actIn, self.claimedAfter === 0 ? '' : Math.max(-1, self.claimedAfter - base.term), self.gaveUp,
     self.sent.map(renewal => `${ranks.indexOf(renewal.number)},${renewal.electors},${renewal.left}`).join(';'), self.flight.map(text).join(';'), self.round === undefined ? '' : `${self.round.left},${self.round.missing}`
