--- a/spec/ownershipSpecification.ts
+++ b/spec/ownershipSpecification.ts
@@ -63,7 +63,7 @@
   /** Ticks until the owner has been silent for lease and margin. */
   readonly silence: number
   /** Ticks until this instance may act in the term it has claimed. */
-  readonly actIn: number
+  readonly takeoverWait: number
   readonly promised: number
   /** Term after which this instance has sent a claim; 0 if none. */
   readonly claimedAfter: number
@@ -127,7 +127,7 @@
     read: 0,
     lease: identity === 0 ? LEASE_TICKS : 0,
     silence: identity === 0 ? 0 : LEASE_TICKS + MARGIN_TICKS,
-    actIn: 0,
+    takeoverWait: 0,
     promised: 0,
     claimedAfter: 0,
     gaveUp: false,
@@ -159,7 +159,7 @@
   /** Whether the instance would act as owner now. */
   isOwner (state: OwnershipState, at: number): boolean {
     const self = state.instances[at] as InstanceState
-    if (!self.up || self.gaveUp || self.actIn > 0 || !this.holdsTerm(state, at)) return false
+    if (!self.up || self.gaveUp || self.takeoverWait > 0 || !this.holdsTerm(state, at)) return false
     return self.lease > 0 || (at >= this.bounds.passiveFrom && this.view(state, at).term === this.bounds.terms) || this.bounds.outageRule === 'leaseFree'
   }
 
@@ -229,7 +229,7 @@
       }
       case 'crash': {
         const self = state.instances[event.at] as InstanceState
-        const down: InstanceState = { ...self, up: false, read: 0, lease: 0, silence: 0, actIn: 0, promised: 0, claimedAfter: 0, gaveUp: false, sent: [], round: undefined }
+        const down: InstanceState = { ...self, up: false, read: 0, lease: 0, silence: 0, takeoverWait: 0, promised: 0, claimedAfter: 0, gaveUp: false, sent: [], round: undefined }
         return { ...this.replace(state, event.at, down), crashes: state.crashes + 1 }
       }
       case 'restart': {
@@ -330,7 +330,7 @@
     if (after.term !== before.term) {
       const own = after.owner === self.identity
       const wait = before.released || this.bounds.fault === 'takeoverWithoutWaiting' ? 0 : Math.max(self.silence, this.bounds.fault === 'claimUnderPromise' ? 0 : self.promised)
-      return { ...self, read, silence: own ? 0 : quiet, lease: 0, actIn: own ? wait : 0, sent: [], round: undefined, gaveUp: false, claimedAfter: 0 }
+      return { ...self, read, silence: own ? 0 : quiet, lease: 0, takeoverWait: own ? wait : 0, sent: [], round: undefined, gaveUp: false, claimedAfter: 0 }
     }
     if (after.released) return { ...self, read }
     if (after.owner !== self.identity) return { ...self, read, silence: quiet }
@@ -395,7 +395,7 @@
     ? `n${record.by},${record.term - base.term},${ranks.indexOf(record.number)},${record.electors}`
     : record.kind === 'claim' ? `c${record.by},${record.after - base.term},${record.electors},${record.ownerAndElectorsGone}` : `e${record.by},${record.term - base.term}`
   const instances = state.instances.map(self => [
-    self.identity, self.up, self.read, self.lease, promisesMatter ? `${self.silence},${self.promised}` : Math.max(self.silence, self.promised), self.actIn, self.claimedAfter === 0 ? '' : Math.max(-1, self.claimedAfter - base.term), self.gaveUp,
+    self.identity, self.up, self.read, self.lease, promisesMatter ? `${self.silence},${self.promised}` : Math.max(self.silence, self.promised), self.takeoverWait, self.claimedAfter === 0 ? '' : Math.max(-1, self.claimedAfter - base.term), self.gaveUp,
     self.sent.map(renewal => `${ranks.indexOf(renewal.number)},${renewal.electors},${renewal.left}`).join(';'), self.flight.map(text).join(';'), self.round === undefined ? '' : `${self.round.left},${self.round.missing}`
   ].join(' '))
   return [base.owner, base.released, base.electors, ranks.indexOf(base.lastRenewal), state.crashes, state.releases, state.driftRest, ...state.log.map(text), '', ...instances].join('|')
@@ -431,7 +431,7 @@
     ...self,
     lease: down(self.lease),
     silence: down(self.silence),
-    actIn: down(self.actIn),
+    takeoverWait: down(self.takeoverWait),
     promised: down(self.promised),
     sent: self.sent.map(renewal => ({ ...renewal, left: down(renewal.left) })),
     round: self.round === undefined || self.round.left <= 1 ? undefined : { ...self.round, left: self.round.left - 1 }
