--- a/spec/ownershipSpecification.ts
+++ b/spec/ownershipSpecification.ts
@@ -64,7 +64,7 @@
   readonly silence: number
   /** Ticks until this instance may act in the term it has claimed. */
   readonly takeoverWait: number
-  readonly promised: number
+  readonly promiseTicks: number
   /** Term after which this instance has sent a claim; 0 if none. */
   readonly claimedAfter: number
   readonly gaveUp: boolean
@@ -128,7 +128,7 @@
     lease: identity === 0 ? LEASE_TICKS : 0,
     silence: identity === 0 ? 0 : LEASE_TICKS + MARGIN_TICKS,
     takeoverWait: 0,
-    promised: 0,
+    promiseTicks: 0,
     claimedAfter: 0,
     gaveUp: false,
     sent: [],
@@ -229,7 +229,7 @@
       }
       case 'crash': {
         const self = state.instances[event.at] as InstanceState
-        const down: InstanceState = { ...self, up: false, read: 0, lease: 0, silence: 0, takeoverWait: 0, promised: 0, claimedAfter: 0, gaveUp: false, sent: [], round: undefined }
+        const down: InstanceState = { ...self, up: false, read: 0, lease: 0, silence: 0, takeoverWait: 0, promiseTicks: 0, claimedAfter: 0, gaveUp: false, sent: [], round: undefined }
         return { ...this.replace(state, event.at, down), crashes: state.crashes + 1 }
       }
       case 'restart': {
@@ -282,7 +282,7 @@
     if (view.term >= this.bounds.terms || self.claimedAfter === view.term || this.holdsTerm(state, at)) return false
     if (view.released) return true
     if (self.silence > 0) return false
-    if (self.promised > 0 && this.bounds.fault !== 'claimUnderPromise') return false
+    if (self.promiseTicks > 0 && this.bounds.fault !== 'claimUnderPromise') return false
     return has(view.electors, self.identity) || this.allGone(state, at)
   }
 
@@ -309,7 +309,7 @@
     const other = state.instances[by] as InstanceState
     const round = self.round as NonNullable<InstanceState['round']>
     const missing = round.missing & ~setOf(other.identity)
-    const promised = this.replace(state, by, { ...other, promised: LEASE_TICKS + this.margin })
+    const promised = this.replace(state, by, { ...other, promiseTicks: LEASE_TICKS + this.margin })
     const enough = missing === 0 || this.bounds.fault === 'majorityOfPromises'
     const owner: InstanceState = enough ? { ...self, lease: Math.max(self.lease, round.left), round: undefined } : { ...self, round: { ...round, missing } }
     return this.replace(promised, at, owner)
@@ -329,7 +329,7 @@
     const quiet = LEASE_TICKS + this.margin
     if (after.term !== before.term) {
       const own = after.owner === self.identity
-      const wait = before.released || this.bounds.fault === 'takeoverWithoutWaiting' ? 0 : Math.max(self.silence, this.bounds.fault === 'claimUnderPromise' ? 0 : self.promised)
+      const wait = before.released || this.bounds.fault === 'takeoverWithoutWaiting' ? 0 : Math.max(self.silence, this.bounds.fault === 'claimUnderPromise' ? 0 : self.promiseTicks)
       return { ...self, read, silence: own ? 0 : quiet, lease: 0, takeoverWait: own ? wait : 0, sent: [], round: undefined, gaveUp: false, claimedAfter: 0 }
     }
     if (after.released) return { ...self, read }
@@ -395,7 +395,7 @@
     ? `n${record.by},${record.term - base.term},${ranks.indexOf(record.number)},${record.electors}`
     : record.kind === 'claim' ? `c${record.by},${record.after - base.term},${record.electors},${record.ownerAndElectorsGone}` : `e${record.by},${record.term - base.term}`
   const instances = state.instances.map(self => [
-    self.identity, self.up, self.read, self.lease, promisesMatter ? `${self.silence},${self.promised}` : Math.max(self.silence, self.promised), self.takeoverWait, self.claimedAfter === 0 ? '' : Math.max(-1, self.claimedAfter - base.term), self.gaveUp,
+    self.identity, self.up, self.read, self.lease, promisesMatter ? `${self.silence},${self.promiseTicks}` : Math.max(self.silence, self.promiseTicks), self.takeoverWait, self.claimedAfter === 0 ? '' : Math.max(-1, self.claimedAfter - base.term), self.gaveUp,
     self.sent.map(renewal => `${ranks.indexOf(renewal.number)},${renewal.electors},${renewal.left}`).join(';'), self.flight.map(text).join(';'), self.round === undefined ? '' : `${self.round.left},${self.round.missing}`
   ].join(' '))
   return [base.owner, base.released, base.electors, ranks.indexOf(base.lastRenewal), state.crashes, state.releases, state.driftRest, ...state.log.map(text), '', ...instances].join('|')
@@ -432,7 +432,7 @@
     lease: down(self.lease),
     silence: down(self.silence),
     takeoverWait: down(self.takeoverWait),
-    promised: down(self.promised),
+    promiseTicks: down(self.promiseTicks),
     sent: self.sent.map(renewal => ({ ...renewal, left: down(renewal.left) })),
     round: self.round === undefined || self.round.left <= 1 ? undefined : { ...self.round, left: self.round.left - 1 }
   }
