--- a/spec/ownershipSpecification.ts
+++ b/spec/ownershipSpecification.ts
@@ -66,7 +66,7 @@
   readonly takeoverWait: number
   readonly promiseTicks: number
   /** Term after which this instance has sent a claim; 0 if none. */
-  readonly claimedAfter: number
+  readonly lastClaimedTerm: number
   readonly gaveUp: boolean
   readonly sent: readonly SentRenewal[]
   readonly flight: readonly OwnershipLogRecord[]
@@ -129,7 +129,7 @@
     silence: identity === 0 ? 0 : LEASE_TICKS + MARGIN_TICKS,
     takeoverWait: 0,
     promiseTicks: 0,
-    claimedAfter: 0,
+    lastClaimedTerm: 0,
     gaveUp: false,
     sent: [],
     flight: [],
@@ -220,7 +220,7 @@
         const { term } = this.view(state, event.at)
         const others = state.instances.reduce((set, other, index) => index === event.at || !other.up ? set : set | setOf(other.identity), 0)
         const record = { kind: 'claim' as const, by: self.identity, after: term, electors: others, gone: this.allGone(state, event.at) }
-        return this.replace(state, event.at, { ...self, claimedAfter: term, flight: this.launch(self, record) })
+        return this.replace(state, event.at, { ...self, lastClaimedTerm: term, flight: this.launch(self, record) })
       }
       case 'release': {
         const self = state.instances[event.at] as InstanceState
@@ -229,7 +229,7 @@
       }
       case 'crash': {
         const self = state.instances[event.at] as InstanceState
-        const down: InstanceState = { ...self, up: false, read: 0, lease: 0, silence: 0, takeoverWait: 0, promiseTicks: 0, claimedAfter: 0, gaveUp: false, sent: [], round: undefined }
+        const down: InstanceState = { ...self, up: false, read: 0, lease: 0, silence: 0, takeoverWait: 0, promiseTicks: 0, lastClaimedTerm: 0, gaveUp: false, sent: [], round: undefined }
         return { ...this.replace(state, event.at, down), crashes: state.crashes + 1 }
       }
       case 'restart': {
@@ -272,14 +272,14 @@
     const other = state.instances[by] as InstanceState
     const view = this.view(state, by)
     if (view.term !== this.view(state, at).term || view.released) return false
-    if (other.claimedAfter !== view.term) return true
+    if (other.lastClaimedTerm !== view.term) return true
     return this.bounds.fault === 'promiseAfterAbandonedClaim'
   }
 
   private mayClaim (state: OwnershipState, at: number): boolean {
     const self = state.instances[at] as InstanceState
     const view = this.view(state, at)
-    if (view.term >= this.bounds.terms || self.claimedAfter === view.term || this.holdsTerm(state, at)) return false
+    if (view.term >= this.bounds.terms || self.lastClaimedTerm === view.term || this.holdsTerm(state, at)) return false
     if (view.released) return true
     if (self.silence > 0) return false
     if (self.promiseTicks > 0 && this.bounds.fault !== 'claimUnderPromise') return false
@@ -330,7 +330,7 @@
     if (after.term !== before.term) {
       const own = after.owner === self.identity
       const wait = before.released || this.bounds.fault === 'takeoverWithoutWaiting' ? 0 : Math.max(self.silence, this.bounds.fault === 'claimUnderPromise' ? 0 : self.promiseTicks)
-      return { ...self, read, silence: own ? 0 : quiet, lease: 0, takeoverWait: own ? wait : 0, sent: [], round: undefined, gaveUp: false, claimedAfter: 0 }
+      return { ...self, read, silence: own ? 0 : quiet, lease: 0, takeoverWait: own ? wait : 0, sent: [], round: undefined, gaveUp: false, lastClaimedTerm: 0 }
     }
     if (after.released) return { ...self, read }
     if (after.owner !== self.identity) return { ...self, read, silence: quiet }
@@ -395,7 +395,7 @@
     ? `n${record.by},${record.term - base.term},${ranks.indexOf(record.number)},${record.electors}`
     : record.kind === 'claim' ? `c${record.by},${record.after - base.term},${record.electors},${record.ownerAndElectorsGone}` : `e${record.by},${record.term - base.term}`
   const instances = state.instances.map(self => [
-    self.identity, self.up, self.read, self.lease, promisesMatter ? `${self.silence},${self.promiseTicks}` : Math.max(self.silence, self.promiseTicks), self.takeoverWait, self.claimedAfter === 0 ? '' : Math.max(-1, self.claimedAfter - base.term), self.gaveUp,
+    self.identity, self.up, self.read, self.lease, promisesMatter ? `${self.silence},${self.promiseTicks}` : Math.max(self.silence, self.promiseTicks), self.takeoverWait, self.lastClaimedTerm === 0 ? '' : Math.max(-1, self.lastClaimedTerm - base.term), self.gaveUp,
     self.sent.map(renewal => `${ranks.indexOf(renewal.number)},${renewal.electors},${renewal.left}`).join(';'), self.flight.map(text).join(';'), self.round === undefined ? '' : `${self.round.left},${self.round.missing}`
   ].join(' '))
   return [base.owner, base.released, base.electors, ranks.indexOf(base.lastRenewal), state.crashes, state.releases, state.driftRest, ...state.log.map(text), '', ...instances].join('|')
