--- a/spec/ownershipSpecification.ts
+++ b/spec/ownershipSpecification.ts
@@ -67,7 +67,7 @@
   readonly promiseTicks: number
   /** Term after which this instance has sent a claim; 0 if none. */
   readonly lastClaimedTerm: number
-  readonly gaveUp: boolean
+  readonly resigned: boolean
   readonly sent: readonly SentRenewal[]
   readonly flight: readonly OwnershipLogRecord[]
   readonly round: { readonly left: number, readonly missing: number } | undefined
@@ -130,7 +130,7 @@
     takeoverWait: 0,
     promiseTicks: 0,
     lastClaimedTerm: 0,
-    gaveUp: false,
+    resigned: false,
     sent: [],
     flight: [],
     round: undefined
@@ -159,7 +159,7 @@
   /** Whether the instance would act as owner now. */
   isOwner (state: OwnershipState, at: number): boolean {
     const self = state.instances[at] as InstanceState
-    if (!self.up || self.gaveUp || self.takeoverWait > 0 || !this.holdsTerm(state, at)) return false
+    if (!self.up || self.resigned || self.takeoverWait > 0 || !this.holdsTerm(state, at)) return false
     return self.lease > 0 || (at >= this.bounds.passiveFrom && this.view(state, at).term === this.bounds.terms) || this.bounds.outageRule === 'leaseFree'
   }
 
@@ -182,7 +182,7 @@
       if (self.read < state.log.length) events.push({ type: 'read', at })
       if (state.crashes < this.bounds.crashes) events.push({ type: 'crash', at })
       if (this.mayClaim(state, at)) events.push({ type: 'claim', at })
-      if (at < this.bounds.passiveFrom && this.holdsTerm(state, at) && !self.gaveUp) events.push(...this.ownerEvents(state, at))
+      if (at < this.bounds.passiveFrom && this.holdsTerm(state, at) && !self.resigned) events.push(...this.ownerEvents(state, at))
     })
     return events
   }
@@ -225,11 +225,11 @@
       case 'release': {
         const self = state.instances[event.at] as InstanceState
         const record = { kind: 'release' as const, by: self.identity, term: this.view(state, event.at).term }
-        return { ...this.replace(state, event.at, { ...self, gaveUp: true, lease: 0, round: undefined, flight: this.launch(self, record) }), releases: state.releases + 1 }
+        return { ...this.replace(state, event.at, { ...self, resigned: true, lease: 0, round: undefined, flight: this.launch(self, record) }), releases: state.releases + 1 }
       }
       case 'crash': {
         const self = state.instances[event.at] as InstanceState
-        const down: InstanceState = { ...self, up: false, read: 0, lease: 0, silence: 0, takeoverWait: 0, promiseTicks: 0, lastClaimedTerm: 0, gaveUp: false, sent: [], round: undefined }
+        const down: InstanceState = { ...self, up: false, read: 0, lease: 0, silence: 0, takeoverWait: 0, promiseTicks: 0, lastClaimedTerm: 0, resigned: false, sent: [], round: undefined }
         return { ...this.replace(state, event.at, down), crashes: state.crashes + 1 }
       }
       case 'restart': {
@@ -330,14 +330,14 @@
     if (after.term !== before.term) {
       const own = after.owner === self.identity
       const wait = before.released || this.bounds.fault === 'takeoverWithoutWaiting' ? 0 : Math.max(self.silence, this.bounds.fault === 'claimUnderPromise' ? 0 : self.promiseTicks)
-      return { ...self, read, silence: own ? 0 : quiet, lease: 0, takeoverWait: own ? wait : 0, sent: [], round: undefined, gaveUp: false, lastClaimedTerm: 0 }
+      return { ...self, read, silence: own ? 0 : quiet, lease: 0, takeoverWait: own ? wait : 0, sent: [], round: undefined, resigned: false, lastClaimedTerm: 0 }
     }
     if (after.released) return { ...self, read }
     if (after.owner !== self.identity) return { ...self, read, silence: quiet }
     const confirmed = self.sent.find(renewal => renewal.number === after.lastRenewal)
     const gained = this.bounds.fault === 'leaseFromAfterAppend' ? LEASE_TICKS : confirmed?.left ?? 0
     const sent = self.sent.filter(renewal => renewal.number > after.lastRenewal)
-    return { ...self, read, sent, lease: self.gaveUp && this.bounds.fault !== 'renewalRevivesReleased' ? 0 : Math.max(self.lease, gained), gaveUp: self.gaveUp && this.bounds.fault !== 'renewalRevivesReleased' }
+    return { ...self, read, sent, lease: self.resigned && this.bounds.fault !== 'renewalRevivesReleased' ? 0 : Math.max(self.lease, gained), resigned: self.resigned && this.bounds.fault !== 'renewalRevivesReleased' }
   }
 
   private tick (state: OwnershipState, slow: boolean): OwnershipState {
@@ -395,7 +395,7 @@
     ? `n${record.by},${record.term - base.term},${ranks.indexOf(record.number)},${record.electors}`
     : record.kind === 'claim' ? `c${record.by},${record.after - base.term},${record.electors},${record.ownerAndElectorsGone}` : `e${record.by},${record.term - base.term}`
   const instances = state.instances.map(self => [
-    self.identity, self.up, self.read, self.lease, promisesMatter ? `${self.silence},${self.promiseTicks}` : Math.max(self.silence, self.promiseTicks), self.takeoverWait, self.lastClaimedTerm === 0 ? '' : Math.max(-1, self.lastClaimedTerm - base.term), self.gaveUp,
+    self.identity, self.up, self.read, self.lease, promisesMatter ? `${self.silence},${self.promiseTicks}` : Math.max(self.silence, self.promiseTicks), self.takeoverWait, self.lastClaimedTerm === 0 ? '' : Math.max(-1, self.lastClaimedTerm - base.term), self.resigned,
     self.sent.map(renewal => `${ranks.indexOf(renewal.number)},${renewal.electors},${renewal.left}`).join(';'), self.flight.map(text).join(';'), self.round === undefined ? '' : `${self.round.left},${self.round.missing}`
   ].join(' '))
   return [base.owner, base.released, base.electors, ranks.indexOf(base.lastRenewal), state.crashes, state.releases, state.driftRest, ...state.log.map(text), '', ...instances].join('|')
