--- a/spec/ownershipSpecification.ts
+++ b/spec/ownershipSpecification.ts
@@ -68,7 +68,7 @@
   /** Term after which this instance has sent a claim; 0 if none. */
   readonly lastClaimedTerm: number
   readonly resigned: boolean
-  readonly sent: readonly SentRenewal[]
+  readonly sentRenewals: readonly SentRenewal[]
   readonly flight: readonly OwnershipLogRecord[]
   readonly round: { readonly left: number, readonly missing: number } | undefined
 }
@@ -131,7 +131,7 @@
     promiseTicks: 0,
     lastClaimedTerm: 0,
     resigned: false,
-    sent: [],
+    sentRenewals: [],
     flight: [],
     round: undefined
   }))
@@ -202,8 +202,8 @@
         const self = state.instances[event.at] as InstanceState
         const number = this.lastNumber(state, event.at) + 1
         const record = { kind: 'renewal' as const, by: self.identity, term: this.view(state, event.at).term, number, electors: event.electors }
-        const sent = [...self.sent, { number, electors: event.electors, left: LEASE_TICKS }]
-        return this.replace(state, event.at, { ...self, sent, flight: this.launch(self, record) })
+        const sent = [...self.sentRenewals, { number, electors: event.electors, left: LEASE_TICKS }]
+        return this.replace(state, event.at, { ...self, sentRenewals: sent, flight: this.launch(self, record) })
       }
       case 'land': {
         const self = state.instances[event.at] as InstanceState
@@ -229,7 +229,7 @@
       }
       case 'crash': {
         const self = state.instances[event.at] as InstanceState
-        const down: InstanceState = { ...self, up: false, read: 0, lease: 0, silence: 0, takeoverWait: 0, promiseTicks: 0, lastClaimedTerm: 0, resigned: false, sent: [], round: undefined }
+        const down: InstanceState = { ...self, up: false, read: 0, lease: 0, silence: 0, takeoverWait: 0, promiseTicks: 0, lastClaimedTerm: 0, resigned: false, sentRenewals: [], round: undefined }
         return { ...this.replace(state, event.at, down), crashes: state.crashes + 1 }
       }
       case 'restart': {
@@ -246,13 +246,13 @@
 
   private lastNumber (state: OwnershipState, at: number): number {
     const self = state.instances[at] as InstanceState
-    return Math.max(this.view(state, at).lastRenewal, ...self.sent.map(renewal => renewal.number))
+    return Math.max(this.view(state, at).lastRenewal, ...self.sentRenewals.map(renewal => renewal.number))
   }
 
   private ownerEvents (state: OwnershipState, at: number): OwnershipEvent[] {
     const self = state.instances[at] as InstanceState
     const events: OwnershipEvent[] = []
-    if (self.sent.length < this.bounds.unconfirmed) {
+    if (self.sentRenewals.length < this.bounds.unconfirmed) {
       const others = state.instances.filter((_, index) => index !== at).reduce((set, other) => set | setOf(other.identity), 0)
       events.push({ type: 'renew', at, electors: others })
       const current = this.view(state, at).electors
@@ -298,7 +298,7 @@
   private ask (state: OwnershipState, at: number): OwnershipState {
     const self = state.instances[at] as InstanceState
     const confirmed = this.view(state, at).electors
-    const all = this.bounds.fault === 'confirmedElectorsOnly' ? confirmed : self.sent.reduce((set, renewal) => set | renewal.electors, confirmed)
+    const all = this.bounds.fault === 'confirmedElectorsOnly' ? confirmed : self.sentRenewals.reduce((set, renewal) => set | renewal.electors, confirmed)
     const missing = all & ~setOf(self.identity)
     if (missing === 0) return this.replace(state, at, { ...self, lease: LEASE_TICKS, round: undefined })
     return this.replace(state, at, { ...self, round: { left: LEASE_TICKS, missing } })
@@ -330,14 +330,14 @@
     if (after.term !== before.term) {
       const own = after.owner === self.identity
       const wait = before.released || this.bounds.fault === 'takeoverWithoutWaiting' ? 0 : Math.max(self.silence, this.bounds.fault === 'claimUnderPromise' ? 0 : self.promiseTicks)
-      return { ...self, read, silence: own ? 0 : quiet, lease: 0, takeoverWait: own ? wait : 0, sent: [], round: undefined, resigned: false, lastClaimedTerm: 0 }
+      return { ...self, read, silence: own ? 0 : quiet, lease: 0, takeoverWait: own ? wait : 0, sentRenewals: [], round: undefined, resigned: false, lastClaimedTerm: 0 }
     }
     if (after.released) return { ...self, read }
     if (after.owner !== self.identity) return { ...self, read, silence: quiet }
-    const confirmed = self.sent.find(renewal => renewal.number === after.lastRenewal)
+    const confirmed = self.sentRenewals.find(renewal => renewal.number === after.lastRenewal)
     const gained = this.bounds.fault === 'leaseFromAfterAppend' ? LEASE_TICKS : confirmed?.left ?? 0
-    const sent = self.sent.filter(renewal => renewal.number > after.lastRenewal)
-    return { ...self, read, sent, lease: self.resigned && this.bounds.fault !== 'renewalRevivesReleased' ? 0 : Math.max(self.lease, gained), resigned: self.resigned && this.bounds.fault !== 'renewalRevivesReleased' }
+    const sent = self.sentRenewals.filter(renewal => renewal.number > after.lastRenewal)
+    return { ...self, read, sentRenewals: sent, lease: self.resigned && this.bounds.fault !== 'renewalRevivesReleased' ? 0 : Math.max(self.lease, gained), resigned: self.resigned && this.bounds.fault !== 'renewalRevivesReleased' }
   }
 
   private tick (state: OwnershipState, slow: boolean): OwnershipState {
@@ -387,7 +387,7 @@
 }
 
 function keyOf (state: OwnershipState, promisesMatter: boolean): string {
-  const numbers = [state.base.lastRenewal, ...state.instances.flatMap(self => self.sent.map(renewal => renewal.number))]
+  const numbers = [state.base.lastRenewal, ...state.instances.flatMap(self => self.sentRenewals.map(renewal => renewal.number))]
   for (const record of [...state.log, ...state.instances.flatMap(self => self.flight)]) if (record.kind === 'renewal') numbers.push(record.number)
   const ranks = [...new Set(numbers)].sort((left, right) => left - right)
   const { base } = state
@@ -396,7 +396,7 @@
     : record.kind === 'claim' ? `c${record.by},${record.after - base.term},${record.electors},${record.ownerAndElectorsGone}` : `e${record.by},${record.term - base.term}`
   const instances = state.instances.map(self => [
     self.identity, self.up, self.read, self.lease, promisesMatter ? `${self.silence},${self.promiseTicks}` : Math.max(self.silence, self.promiseTicks), self.takeoverWait, self.lastClaimedTerm === 0 ? '' : Math.max(-1, self.lastClaimedTerm - base.term), self.resigned,
-    self.sent.map(renewal => `${ranks.indexOf(renewal.number)},${renewal.electors},${renewal.left}`).join(';'), self.flight.map(text).join(';'), self.round === undefined ? '' : `${self.round.left},${self.round.missing}`
+    self.sentRenewals.map(renewal => `${ranks.indexOf(renewal.number)},${renewal.electors},${renewal.left}`).join(';'), self.flight.map(text).join(';'), self.round === undefined ? '' : `${self.round.left},${self.round.missing}`
   ].join(' '))
   return [base.owner, base.released, base.electors, ranks.indexOf(base.lastRenewal), state.crashes, state.releases, state.driftRest, ...state.log.map(text), '', ...instances].join('|')
 }
@@ -417,7 +417,7 @@
   const instances = state.instances.map(self => ({
     ...self,
     identity: identity(self.identity),
-    sent: self.sent.map(renewal => ({ ...renewal, electors: set(renewal.electors) })),
+    sent: self.sentRenewals.map(renewal => ({ ...renewal, electors: set(renewal.electors) })),
     flight: self.flight.map(record),
     round: self.round === undefined ? undefined : { ...self.round, missing: set(self.round.missing) }
   }))
@@ -433,7 +433,7 @@
     silence: down(self.silence),
     takeoverWait: down(self.takeoverWait),
     promiseTicks: down(self.promiseTicks),
-    sent: self.sent.map(renewal => ({ ...renewal, left: down(renewal.left) })),
+    sentRenewals: self.sentRenewals.map(renewal => ({ ...renewal, left: down(renewal.left) })),
     round: self.round === undefined || self.round.left <= 1 ? undefined : { ...self.round, left: self.round.left - 1 }
   }
 }
