--- a/spec/ownershipSpecification.ts
+++ b/spec/ownershipSpecification.ts
@@ -69,7 +69,7 @@
   readonly lastClaimedTerm: number
   readonly resigned: boolean
   readonly sentRenewals: readonly SentRenewal[]
-  readonly flight: readonly OwnershipLogRecord[]
+  readonly inFlight: readonly OwnershipLogRecord[]
   readonly round: { readonly left: number, readonly missing: number } | undefined
 }
 
@@ -132,7 +132,7 @@
     lastClaimedTerm: 0,
     resigned: false,
     sentRenewals: [],
-    flight: [],
+    inFlight: [],
     round: undefined
   }))
   const base: LogView = { term: 1, owner: 0, released: false, electors: bounds.electors, lastRenewal: 0 }
@@ -172,7 +172,7 @@
     const events: OwnershipEvent[] = [{ type: 'tick', slow: false }]
     if (this.bounds.slowClock >= 0 && state.driftRest === 0) events.push({ type: 'tick', slow: true })
     state.instances.forEach((self, at) => {
-      self.flight.forEach((_, index) => {
+      self.inFlight.forEach((_, index) => {
         if (state.log.length < this.bounds.unread) events.push({ type: 'land', at, index })
       })
       if (!self.up) {
@@ -203,12 +203,12 @@
         const number = this.lastNumber(state, event.at) + 1
         const record = { kind: 'renewal' as const, by: self.identity, term: this.view(state, event.at).term, number, electors: event.electors }
         const sent = [...self.sentRenewals, { number, electors: event.electors, left: LEASE_TICKS }]
-        return this.replace(state, event.at, { ...self, sentRenewals: sent, flight: this.launch(self, record) })
+        return this.replace(state, event.at, { ...self, sentRenewals: sent, inFlight: this.launch(self, record) })
       }
       case 'land': {
         const self = state.instances[event.at] as InstanceState
-        const record = self.flight[event.index] as OwnershipLogRecord
-        const rest = this.replace(state, event.at, { ...self, flight: self.flight.filter((_, index) => index !== event.index) })
+        const record = self.inFlight[event.index] as OwnershipLogRecord
+        const rest = this.replace(state, event.at, { ...self, inFlight: self.inFlight.filter((_, index) => index !== event.index) })
         return { ...rest, log: [...state.log, record] }
       }
       case 'ask':
@@ -220,12 +220,12 @@
         const { term } = this.view(state, event.at)
         const others = state.instances.reduce((set, other, index) => index === event.at || !other.up ? set : set | setOf(other.identity), 0)
         const record = { kind: 'claim' as const, by: self.identity, after: term, electors: others, gone: this.allGone(state, event.at) }
-        return this.replace(state, event.at, { ...self, lastClaimedTerm: term, flight: this.launch(self, record) })
+        return this.replace(state, event.at, { ...self, lastClaimedTerm: term, inFlight: this.launch(self, record) })
       }
       case 'release': {
         const self = state.instances[event.at] as InstanceState
         const record = { kind: 'release' as const, by: self.identity, term: this.view(state, event.at).term }
-        return { ...this.replace(state, event.at, { ...self, resigned: true, lease: 0, round: undefined, flight: this.launch(self, record) }), releases: state.releases + 1 }
+        return { ...this.replace(state, event.at, { ...self, resigned: true, lease: 0, round: undefined, inFlight: this.launch(self, record) }), releases: state.releases + 1 }
       }
       case 'crash': {
         const self = state.instances[event.at] as InstanceState
@@ -241,7 +241,7 @@
 
   /** A record in flight that is not delivered any more is lost; the oldest goes first. */
   private launch (self: InstanceState, record: OwnershipLogRecord): OwnershipLogRecord[] {
-    return [...self.flight, record].slice(-this.bounds.inFlight)
+    return [...self.inFlight, record].slice(-this.bounds.inFlight)
   }
 
   private lastNumber (state: OwnershipState, at: number): number {
@@ -358,7 +358,7 @@
     const instances = state.instances.map(self => ({
       ...self,
       read: Math.max(0, self.read - readByAll),
-      flight: self.flight.filter(record => this.mayHaveEffect(base, record))
+      flight: self.inFlight.filter(record => this.mayHaveEffect(base, record))
     }))
     return { ...state, base, log: state.log.slice(readByAll), instances }
   }
@@ -388,7 +388,7 @@
 
 function keyOf (state: OwnershipState, promisesMatter: boolean): string {
   const numbers = [state.base.lastRenewal, ...state.instances.flatMap(self => self.sentRenewals.map(renewal => renewal.number))]
-  for (const record of [...state.log, ...state.instances.flatMap(self => self.flight)]) if (record.kind === 'renewal') numbers.push(record.number)
+  for (const record of [...state.log, ...state.instances.flatMap(self => self.inFlight)]) if (record.kind === 'renewal') numbers.push(record.number)
   const ranks = [...new Set(numbers)].sort((left, right) => left - right)
   const { base } = state
   const text = (record: OwnershipLogRecord): string => record.kind === 'renewal'
@@ -396,7 +396,7 @@
     : record.kind === 'claim' ? `c${record.by},${record.after - base.term},${record.electors},${record.ownerAndElectorsGone}` : `e${record.by},${record.term - base.term}`
   const instances = state.instances.map(self => [
     self.identity, self.up, self.read, self.lease, promisesMatter ? `${self.silence},${self.promiseTicks}` : Math.max(self.silence, self.promiseTicks), self.takeoverWait, self.lastClaimedTerm === 0 ? '' : Math.max(-1, self.lastClaimedTerm - base.term), self.resigned,
-    self.sentRenewals.map(renewal => `${ranks.indexOf(renewal.number)},${renewal.electors},${renewal.left}`).join(';'), self.flight.map(text).join(';'), self.round === undefined ? '' : `${self.round.left},${self.round.missing}`
+    self.sentRenewals.map(renewal => `${ranks.indexOf(renewal.number)},${renewal.electors},${renewal.left}`).join(';'), self.inFlight.map(text).join(';'), self.round === undefined ? '' : `${self.round.left},${self.round.missing}`
   ].join(' '))
   return [base.owner, base.released, base.electors, ranks.indexOf(base.lastRenewal), state.crashes, state.releases, state.driftRest, ...state.log.map(text), '', ...instances].join('|')
 }
@@ -418,7 +418,7 @@
     ...self,
     identity: identity(self.identity),
     sent: self.sentRenewals.map(renewal => ({ ...renewal, electors: set(renewal.electors) })),
-    flight: self.flight.map(record),
+    flight: self.inFlight.map(record),
     round: self.round === undefined ? undefined : { ...self.round, missing: set(self.round.missing) }
   }))
   const ordered = instances.map((_, at) => instances[at === first ? second : at === second ? first : at] as InstanceState)
--- a/test/spec/conformance.test.ts
+++ b/test/spec/conformance.test.ts
@@ -47,13 +47,13 @@
     const { at } = event
     const rules = this.rules[at] as Ownership
     const now = this.clocks[at] as number
-    const launched = after.instances[at]?.flight.at(-1) as OwnershipLogRecord
+    const launched = after.instances[at]?.inFlight.at(-1) as OwnershipLogRecord
     switch (event.type) {
       case 'read':
         this.readAll(at)
         return
       case 'land':
-        this.store(this.bodies.get((before.instances[at] as InstanceState).flight[event.index] as OwnershipLogRecord) as RecordBody)
+        this.store(this.bodies.get((before.instances[at] as InstanceState).inFlight[event.index] as OwnershipLogRecord) as RecordBody)
         return
       case 'renew':
         this.bodies.set(launched, rules.startRenewal(now, holdersOf(event.electors)) as RecordBody)
