--- a/spec/ownershipSpecification.ts
+++ b/spec/ownershipSpecification.ts
@@ -58,7 +58,7 @@
   readonly identity: number
   readonly up: boolean
   /** Records read of `log`. */
-  readonly read: number
+  readonly recordsRead: number
   readonly lease: number
   /** Ticks until the owner has been silent for lease and margin. */
   readonly silence: number
@@ -124,7 +124,7 @@
   const instances = Array.from({ length: bounds.instances }, (_, identity): InstanceState => ({
     identity,
     up: true,
-    read: 0,
+    recordsRead: 0,
     lease: identity === 0 ? LEASE_TICKS : 0,
     silence: identity === 0 ? 0 : LEASE_TICKS + MARGIN_TICKS,
     takeoverWait: 0,
@@ -148,7 +148,7 @@
   }
 
   view (state: OwnershipState, at: number): LogView {
-    return this.viewOf(state, state.instances[at]?.read ?? 0)
+    return this.viewOf(state, state.instances[at]?.recordsRead ?? 0)
   }
 
   holdsTerm (state: OwnershipState, at: number): boolean {
@@ -179,7 +179,7 @@
         events.push({ type: 'restart', at })
         return
       }
-      if (self.read < state.log.length) events.push({ type: 'read', at })
+      if (self.recordsRead < state.log.length) events.push({ type: 'read', at })
       if (state.crashes < this.bounds.crashes) events.push({ type: 'crash', at })
       if (this.mayClaim(state, at)) events.push({ type: 'claim', at })
       if (at < this.bounds.passiveFrom && this.holdsTerm(state, at) && !self.resigned) events.push(...this.ownerEvents(state, at))
@@ -229,7 +229,7 @@
       }
       case 'crash': {
         const self = state.instances[event.at] as InstanceState
-        const down: InstanceState = { ...self, up: false, read: 0, lease: 0, silence: 0, takeoverWait: 0, promiseTicks: 0, lastClaimedTerm: 0, resigned: false, sentRenewals: [], round: undefined }
+        const down: InstanceState = { ...self, up: false, recordsRead: 0, lease: 0, silence: 0, takeoverWait: 0, promiseTicks: 0, lastClaimedTerm: 0, resigned: false, sentRenewals: [], round: undefined }
         return { ...this.replace(state, event.at, down), crashes: state.crashes + 1 }
       }
       case 'restart': {
@@ -317,7 +317,7 @@
 
   private readAll (state: OwnershipState, at: number): InstanceState {
     let self = state.instances[at] as InstanceState
-    for (let index = self.read; index < state.log.length; index += 1) self = this.readOne(state, self, index)
+    for (let index = self.recordsRead; index < state.log.length; index += 1) self = this.readOne(state, self, index)
     return self
   }
 
@@ -325,19 +325,19 @@
     const before = this.viewOf(state, index)
     const after = decideRecord(before, state.log[index] as OwnershipLogRecord, this.bounds.fault)
     const read = index + 1
-    if (after === before) return { ...self, read }
+    if (after === before) return { ...self, recordsRead: read }
     const quiet = LEASE_TICKS + this.margin
     if (after.term !== before.term) {
       const own = after.owner === self.identity
       const wait = before.released || this.bounds.fault === 'takeoverWithoutWaiting' ? 0 : Math.max(self.silence, this.bounds.fault === 'claimUnderPromise' ? 0 : self.promiseTicks)
-      return { ...self, read, silence: own ? 0 : quiet, lease: 0, takeoverWait: own ? wait : 0, sentRenewals: [], round: undefined, resigned: false, lastClaimedTerm: 0 }
+      return { ...self, recordsRead: read, silence: own ? 0 : quiet, lease: 0, takeoverWait: own ? wait : 0, sentRenewals: [], round: undefined, resigned: false, lastClaimedTerm: 0 }
     }
-    if (after.released) return { ...self, read }
-    if (after.owner !== self.identity) return { ...self, read, silence: quiet }
+    if (after.released) return { ...self, recordsRead: read }
+    if (after.owner !== self.identity) return { ...self, recordsRead: read, silence: quiet }
     const confirmed = self.sentRenewals.find(renewal => renewal.number === after.lastRenewal)
     const gained = this.bounds.fault === 'leaseFromAfterAppend' ? LEASE_TICKS : confirmed?.left ?? 0
     const sent = self.sentRenewals.filter(renewal => renewal.number > after.lastRenewal)
-    return { ...self, read, sentRenewals: sent, lease: self.resigned && this.bounds.fault !== 'renewalRevivesReleased' ? 0 : Math.max(self.lease, gained), resigned: self.resigned && this.bounds.fault !== 'renewalRevivesReleased' }
+    return { ...self, recordsRead: read, sentRenewals: sent, lease: self.resigned && this.bounds.fault !== 'renewalRevivesReleased' ? 0 : Math.max(self.lease, gained), resigned: self.resigned && this.bounds.fault !== 'renewalRevivesReleased' }
   }
 
   private tick (state: OwnershipState, slow: boolean): OwnershipState {
@@ -353,11 +353,11 @@
 
   /** Folds records that every live instance has read into the base and drops records in flight that can have no effect. */
   private settle (state: OwnershipState): OwnershipState {
-    const readByAll = state.instances.reduce((least, self) => self.up ? Math.min(least, self.read) : least, state.log.length)
+    const readByAll = state.instances.reduce((least, self) => self.up ? Math.min(least, self.recordsRead) : least, state.log.length)
     const base = this.viewOf(state, readByAll)
     const instances = state.instances.map(self => ({
       ...self,
-      read: Math.max(0, self.read - readByAll),
+      read: Math.max(0, self.recordsRead - readByAll),
       flight: self.inFlight.filter(record => this.mayHaveEffect(base, record))
     }))
     return { ...state, base, log: state.log.slice(readByAll), instances }
@@ -395,7 +395,7 @@
     ? `n${record.by},${record.term - base.term},${ranks.indexOf(record.number)},${record.electors}`
     : record.kind === 'claim' ? `c${record.by},${record.after - base.term},${record.electors},${record.ownerAndElectorsGone}` : `e${record.by},${record.term - base.term}`
   const instances = state.instances.map(self => [
-    self.identity, self.up, self.read, self.lease, promisesMatter ? `${self.silence},${self.promiseTicks}` : Math.max(self.silence, self.promiseTicks), self.takeoverWait, self.lastClaimedTerm === 0 ? '' : Math.max(-1, self.lastClaimedTerm - base.term), self.resigned,
+    self.identity, self.up, self.recordsRead, self.lease, promisesMatter ? `${self.silence},${self.promiseTicks}` : Math.max(self.silence, self.promiseTicks), self.takeoverWait, self.lastClaimedTerm === 0 ? '' : Math.max(-1, self.lastClaimedTerm - base.term), self.resigned,
     self.sentRenewals.map(renewal => `${ranks.indexOf(renewal.number)},${renewal.electors},${renewal.left}`).join(';'), self.inFlight.map(text).join(';'), self.round === undefined ? '' : `${self.round.left},${self.round.missing}`
   ].join(' '))
   return [base.owner, base.released, base.electors, ranks.indexOf(base.lastRenewal), state.crashes, state.releases, state.driftRest, ...state.log.map(text), '', ...instances].join('|')
