--- a/spec/ownershipSpecification.ts
+++ b/spec/ownershipSpecification.ts
@@ -61,7 +61,7 @@
   readonly recordsRead: number
   readonly lease: number
   /** Ticks until the owner has been silent for lease and margin. */
-  readonly silence: number
+  readonly ownerExpiryWait: number
   /** Ticks until this instance may act in the term it has claimed. */
   readonly takeoverWait: number
   readonly promiseTicks: number
@@ -126,7 +126,7 @@
     up: true,
     recordsRead: 0,
     lease: identity === 0 ? LEASE_TICKS : 0,
-    silence: identity === 0 ? 0 : LEASE_TICKS + MARGIN_TICKS,
+    ownerExpiryWait: identity === 0 ? 0 : LEASE_TICKS + MARGIN_TICKS,
     takeoverWait: 0,
     promiseTicks: 0,
     lastClaimedTerm: 0,
@@ -229,12 +229,12 @@
       }
       case 'crash': {
         const self = state.instances[event.at] as InstanceState
-        const down: InstanceState = { ...self, up: false, recordsRead: 0, lease: 0, silence: 0, takeoverWait: 0, promiseTicks: 0, lastClaimedTerm: 0, resigned: false, sentRenewals: [], round: undefined }
+        const down: InstanceState = { ...self, up: false, recordsRead: 0, lease: 0, ownerExpiryWait: 0, takeoverWait: 0, promiseTicks: 0, lastClaimedTerm: 0, resigned: false, sentRenewals: [], round: undefined }
         return { ...this.replace(state, event.at, down), crashes: state.crashes + 1 }
       }
       case 'restart': {
         const self = state.instances[event.at] as InstanceState
-        return this.replace(state, event.at, { ...self, up: true, identity: self.identity + this.bounds.instances, silence: LEASE_TICKS + this.margin })
+        return this.replace(state, event.at, { ...self, up: true, identity: self.identity + this.bounds.instances, ownerExpiryWait: LEASE_TICKS + this.margin })
       }
     }
   }
@@ -281,7 +281,7 @@
     const view = this.view(state, at)
     if (view.term >= this.bounds.terms || self.lastClaimedTerm === view.term || this.holdsTerm(state, at)) return false
     if (view.released) return true
-    if (self.silence > 0) return false
+    if (self.ownerExpiryWait > 0) return false
     if (self.promiseTicks > 0 && this.bounds.fault !== 'claimUnderPromise') return false
     return has(view.electors, self.identity) || this.allGone(state, at)
   }
@@ -329,11 +329,11 @@
     const quiet = LEASE_TICKS + this.margin
     if (after.term !== before.term) {
       const own = after.owner === self.identity
-      const wait = before.released || this.bounds.fault === 'takeoverWithoutWaiting' ? 0 : Math.max(self.silence, this.bounds.fault === 'claimUnderPromise' ? 0 : self.promiseTicks)
-      return { ...self, recordsRead: read, silence: own ? 0 : quiet, lease: 0, takeoverWait: own ? wait : 0, sentRenewals: [], round: undefined, resigned: false, lastClaimedTerm: 0 }
+      const wait = before.released || this.bounds.fault === 'takeoverWithoutWaiting' ? 0 : Math.max(self.ownerExpiryWait, this.bounds.fault === 'claimUnderPromise' ? 0 : self.promiseTicks)
+      return { ...self, recordsRead: read, ownerExpiryWait: own ? 0 : quiet, lease: 0, takeoverWait: own ? wait : 0, sentRenewals: [], round: undefined, resigned: false, lastClaimedTerm: 0 }
     }
     if (after.released) return { ...self, recordsRead: read }
-    if (after.owner !== self.identity) return { ...self, recordsRead: read, silence: quiet }
+    if (after.owner !== self.identity) return { ...self, recordsRead: read, ownerExpiryWait: quiet }
     const confirmed = self.sentRenewals.find(renewal => renewal.number === after.lastRenewal)
     const gained = this.bounds.fault === 'leaseFromAfterAppend' ? LEASE_TICKS : confirmed?.left ?? 0
     const sent = self.sentRenewals.filter(renewal => renewal.number > after.lastRenewal)
@@ -395,7 +395,7 @@
     ? `n${record.by},${record.term - base.term},${ranks.indexOf(record.number)},${record.electors}`
     : record.kind === 'claim' ? `c${record.by},${record.after - base.term},${record.electors},${record.ownerAndElectorsGone}` : `e${record.by},${record.term - base.term}`
   const instances = state.instances.map(self => [
-    self.identity, self.up, self.recordsRead, self.lease, promisesMatter ? `${self.silence},${self.promiseTicks}` : Math.max(self.silence, self.promiseTicks), self.takeoverWait, self.lastClaimedTerm === 0 ? '' : Math.max(-1, self.lastClaimedTerm - base.term), self.resigned,
+    self.identity, self.up, self.recordsRead, self.lease, promisesMatter ? `${self.ownerExpiryWait},${self.promiseTicks}` : Math.max(self.ownerExpiryWait, self.promiseTicks), self.takeoverWait, self.lastClaimedTerm === 0 ? '' : Math.max(-1, self.lastClaimedTerm - base.term), self.resigned,
     self.sentRenewals.map(renewal => `${ranks.indexOf(renewal.number)},${renewal.electors},${renewal.left}`).join(';'), self.inFlight.map(text).join(';'), self.round === undefined ? '' : `${self.round.left},${self.round.missing}`
   ].join(' '))
   return [base.owner, base.released, base.electors, ranks.indexOf(base.lastRenewal), state.crashes, state.releases, state.driftRest, ...state.log.map(text), '', ...instances].join('|')
@@ -430,7 +430,7 @@
   return {
     ...self,
     lease: down(self.lease),
-    silence: down(self.silence),
+    ownerExpiryWait: down(self.ownerExpiryWait),
     takeoverWait: down(self.takeoverWait),
     promiseTicks: down(self.promiseTicks),
     sentRenewals: self.sentRenewals.map(renewal => ({ ...renewal, left: down(renewal.left) })),
