--- a/spec/ownershipSpecification.ts
+++ b/spec/ownershipSpecification.ts
@@ -59,7 +59,7 @@
   readonly up: boolean
   /** Records read of `log`. */
   readonly recordsRead: number
-  readonly lease: number
+  readonly leaseTicks: number
   /** Ticks until the owner has been silent for lease and margin. */
   readonly ownerExpiryWait: number
   /** Ticks until this instance may act in the term it has claimed. */
@@ -125,7 +125,7 @@
     identity,
     up: true,
     recordsRead: 0,
-    lease: identity === 0 ? LEASE_TICKS : 0,
+    leaseTicks: identity === 0 ? LEASE_TICKS : 0,
     ownerExpiryWait: identity === 0 ? 0 : LEASE_TICKS + MARGIN_TICKS,
     takeoverWait: 0,
     promiseTicks: 0,
@@ -160,7 +160,7 @@
   isOwner (state: OwnershipState, at: number): boolean {
     const self = state.instances[at] as InstanceState
     if (!self.up || self.resigned || self.takeoverWait > 0 || !this.holdsTerm(state, at)) return false
-    return self.lease > 0 || (at >= this.bounds.passiveFrom && this.view(state, at).term === this.bounds.terms) || this.bounds.outageRule === 'leaseFree'
+    return self.leaseTicks > 0 || (at >= this.bounds.passiveFrom && this.view(state, at).term === this.bounds.terms) || this.bounds.outageRule === 'leaseFree'
   }
 
   owners (state: OwnershipState): number[] {
@@ -225,11 +225,11 @@
       case 'release': {
         const self = state.instances[event.at] as InstanceState
         const record = { kind: 'release' as const, by: self.identity, term: this.view(state, event.at).term }
-        return { ...this.replace(state, event.at, { ...self, resigned: true, lease: 0, round: undefined, inFlight: this.launch(self, record) }), releases: state.releases + 1 }
+        return { ...this.replace(state, event.at, { ...self, resigned: true, leaseTicks: 0, round: undefined, inFlight: this.launch(self, record) }), releases: state.releases + 1 }
       }
       case 'crash': {
         const self = state.instances[event.at] as InstanceState
-        const down: InstanceState = { ...self, up: false, recordsRead: 0, lease: 0, ownerExpiryWait: 0, takeoverWait: 0, promiseTicks: 0, lastClaimedTerm: 0, resigned: false, sentRenewals: [], round: undefined }
+        const down: InstanceState = { ...self, up: false, recordsRead: 0, leaseTicks: 0, ownerExpiryWait: 0, takeoverWait: 0, promiseTicks: 0, lastClaimedTerm: 0, resigned: false, sentRenewals: [], round: undefined }
         return { ...this.replace(state, event.at, down), crashes: state.crashes + 1 }
       }
       case 'restart': {
@@ -300,7 +300,7 @@
     const confirmed = this.view(state, at).electors
     const all = this.bounds.fault === 'confirmedElectorsOnly' ? confirmed : self.sentRenewals.reduce((set, renewal) => set | renewal.electors, confirmed)
     const missing = all & ~setOf(self.identity)
-    if (missing === 0) return this.replace(state, at, { ...self, lease: LEASE_TICKS, round: undefined })
+    if (missing === 0) return this.replace(state, at, { ...self, leaseTicks: LEASE_TICKS, round: undefined })
     return this.replace(state, at, { ...self, round: { left: LEASE_TICKS, missing } })
   }
 
@@ -311,7 +311,7 @@
     const missing = round.missing & ~setOf(other.identity)
     const promised = this.replace(state, by, { ...other, promiseTicks: LEASE_TICKS + this.margin })
     const enough = missing === 0 || this.bounds.fault === 'majorityOfPromises'
-    const owner: InstanceState = enough ? { ...self, lease: Math.max(self.lease, round.left), round: undefined } : { ...self, round: { ...round, missing } }
+    const owner: InstanceState = enough ? { ...self, leaseTicks: Math.max(self.leaseTicks, round.left), round: undefined } : { ...self, round: { ...round, missing } }
     return this.replace(promised, at, owner)
   }
 
@@ -330,14 +330,14 @@
     if (after.term !== before.term) {
       const own = after.owner === self.identity
       const wait = before.released || this.bounds.fault === 'takeoverWithoutWaiting' ? 0 : Math.max(self.ownerExpiryWait, this.bounds.fault === 'claimUnderPromise' ? 0 : self.promiseTicks)
-      return { ...self, recordsRead: read, ownerExpiryWait: own ? 0 : quiet, lease: 0, takeoverWait: own ? wait : 0, sentRenewals: [], round: undefined, resigned: false, lastClaimedTerm: 0 }
+      return { ...self, recordsRead: read, ownerExpiryWait: own ? 0 : quiet, leaseTicks: 0, takeoverWait: own ? wait : 0, sentRenewals: [], round: undefined, resigned: false, lastClaimedTerm: 0 }
     }
     if (after.released) return { ...self, recordsRead: read }
     if (after.owner !== self.identity) return { ...self, recordsRead: read, ownerExpiryWait: quiet }
     const confirmed = self.sentRenewals.find(renewal => renewal.number === after.lastRenewal)
     const gained = this.bounds.fault === 'leaseFromAfterAppend' ? LEASE_TICKS : confirmed?.left ?? 0
     const sent = self.sentRenewals.filter(renewal => renewal.number > after.lastRenewal)
-    return { ...self, recordsRead: read, sentRenewals: sent, lease: self.resigned && this.bounds.fault !== 'renewalRevivesReleased' ? 0 : Math.max(self.lease, gained), resigned: self.resigned && this.bounds.fault !== 'renewalRevivesReleased' }
+    return { ...self, recordsRead: read, sentRenewals: sent, leaseTicks: self.resigned && this.bounds.fault !== 'renewalRevivesReleased' ? 0 : Math.max(self.leaseTicks, gained), resigned: self.resigned && this.bounds.fault !== 'renewalRevivesReleased' }
   }
 
   private tick (state: OwnershipState, slow: boolean): OwnershipState {
@@ -395,7 +395,7 @@
     ? `n${record.by},${record.term - base.term},${ranks.indexOf(record.number)},${record.electors}`
     : record.kind === 'claim' ? `c${record.by},${record.after - base.term},${record.electors},${record.ownerAndElectorsGone}` : `e${record.by},${record.term - base.term}`
   const instances = state.instances.map(self => [
-    self.identity, self.up, self.recordsRead, self.lease, promisesMatter ? `${self.ownerExpiryWait},${self.promiseTicks}` : Math.max(self.ownerExpiryWait, self.promiseTicks), self.takeoverWait, self.lastClaimedTerm === 0 ? '' : Math.max(-1, self.lastClaimedTerm - base.term), self.resigned,
+    self.identity, self.up, self.recordsRead, self.leaseTicks, promisesMatter ? `${self.ownerExpiryWait},${self.promiseTicks}` : Math.max(self.ownerExpiryWait, self.promiseTicks), self.takeoverWait, self.lastClaimedTerm === 0 ? '' : Math.max(-1, self.lastClaimedTerm - base.term), self.resigned,
     self.sentRenewals.map(renewal => `${ranks.indexOf(renewal.number)},${renewal.electors},${renewal.left}`).join(';'), self.inFlight.map(text).join(';'), self.round === undefined ? '' : `${self.round.left},${self.round.missing}`
   ].join(' '))
   return [base.owner, base.released, base.electors, ranks.indexOf(base.lastRenewal), state.crashes, state.releases, state.driftRest, ...state.log.map(text), '', ...instances].join('|')
@@ -429,7 +429,7 @@
   const down = (ticks: number): number => Math.max(0, ticks - 1)
   return {
     ...self,
-    lease: down(self.lease),
+    leaseTicks: down(self.leaseTicks),
     ownerExpiryWait: down(self.ownerExpiryWait),
     takeoverWait: down(self.takeoverWait),
     promiseTicks: down(self.promiseTicks),
--- a/test/spec/conformance.test.ts
+++ b/test/spec/conformance.test.ts
@@ -93,7 +93,7 @@
       assert.equal(rules.term, view.term)
       assert.deepEqual(rules.currentOwner, view.released ? undefined : holderOf(view.owner))
       assert.equal(rules.isOwner(now), this.specification.isOwner(state, at), `right of ${at} to act`)
-      assert.equal(rules.leaseEnd > now, this.specification.holdsTerm(state, at) && self.lease > 0, `lease of ${at}`)
+      assert.equal(rules.leaseEnd > now, this.specification.holdsTerm(state, at) && self.leaseTicks > 0, `lease of ${at}`)
       const claimedBefore = self.lastClaimedTerm === view.term
       if (!claimedBefore) assert.equal(rules.mayClaim(now, this.view(state)), events.some(event => event.type === 'claim' && event.at === at), `right of ${at} to claim`)
     })
