--- a/spec/ownershipSpecification.ts
+++ b/spec/ownershipSpecification.ts
@@ -70,7 +70,7 @@
   readonly resigned: boolean
   readonly sentRenewals: readonly SentRenewal[]
   readonly inFlight: readonly OwnershipLogRecord[]
-  readonly round: { readonly left: number, readonly missing: number } | undefined
+  readonly round: { readonly ticksLeft: number, readonly missing: number } | undefined
 }
 
 export interface OwnershipState {
@@ -259,7 +259,7 @@
       if (current !== others) events.push({ type: 'renew', at, electors: current })
     }
     if (state.releases < this.bounds.releases) events.push({ type: 'release', at })
-    if (this.bounds.outageRule === 'promises' && (self.round === undefined || self.round.left < LEASE_TICKS)) events.push({ type: 'ask', at })
+    if (this.bounds.outageRule === 'promises' && (self.round === undefined || self.round.ticksLeft < LEASE_TICKS)) events.push({ type: 'ask', at })
     const { round } = self
     if (round === undefined) return events
     state.instances.forEach((other, by) => {
@@ -301,7 +301,7 @@
     const all = this.bounds.fault === 'confirmedElectorsOnly' ? confirmed : self.sentRenewals.reduce((set, renewal) => set | renewal.electors, confirmed)
     const missing = all & ~setOf(self.identity)
     if (missing === 0) return this.replace(state, at, { ...self, leaseTicks: LEASE_TICKS, round: undefined })
-    return this.replace(state, at, { ...self, round: { left: LEASE_TICKS, missing } })
+    return this.replace(state, at, { ...self, round: { ticksLeft: LEASE_TICKS, missing } })
   }
 
   private grant (state: OwnershipState, at: number, by: number): OwnershipState {
@@ -311,7 +311,7 @@
     const missing = round.missing & ~setOf(other.identity)
     const promised = this.replace(state, by, { ...other, promiseTicks: LEASE_TICKS + this.margin })
     const enough = missing === 0 || this.bounds.fault === 'majorityOfPromises'
-    const owner: InstanceState = enough ? { ...self, leaseTicks: Math.max(self.leaseTicks, round.left), round: undefined } : { ...self, round: { ...round, missing } }
+    const owner: InstanceState = enough ? { ...self, leaseTicks: Math.max(self.leaseTicks, round.ticksLeft), round: undefined } : { ...self, round: { ...round, missing } }
     return this.replace(promised, at, owner)
   }
 
@@ -396,7 +396,7 @@
     : record.kind === 'claim' ? `c${record.by},${record.after - base.term},${record.electors},${record.ownerAndElectorsGone}` : `e${record.by},${record.term - base.term}`
   const instances = state.instances.map(self => [
     self.identity, self.up, self.recordsRead, self.leaseTicks, promisesMatter ? `${self.ownerExpiryWait},${self.promiseTicks}` : Math.max(self.ownerExpiryWait, self.promiseTicks), self.takeoverWait, self.lastClaimedTerm === 0 ? '' : Math.max(-1, self.lastClaimedTerm - base.term), self.resigned,
-    self.sentRenewals.map(renewal => `${ranks.indexOf(renewal.number)},${renewal.electors},${renewal.left}`).join(';'), self.inFlight.map(text).join(';'), self.round === undefined ? '' : `${self.round.left},${self.round.missing}`
+    self.sentRenewals.map(renewal => `${ranks.indexOf(renewal.number)},${renewal.electors},${renewal.left}`).join(';'), self.inFlight.map(text).join(';'), self.round === undefined ? '' : `${self.round.ticksLeft},${self.round.missing}`
   ].join(' '))
   return [base.owner, base.released, base.electors, ranks.indexOf(base.lastRenewal), state.crashes, state.releases, state.driftRest, ...state.log.map(text), '', ...instances].join('|')
 }
@@ -434,6 +434,6 @@
     takeoverWait: down(self.takeoverWait),
     promiseTicks: down(self.promiseTicks),
     sentRenewals: self.sentRenewals.map(renewal => ({ ...renewal, left: down(renewal.left) })),
-    round: self.round === undefined || self.round.left <= 1 ? undefined : { ...self.round, left: self.round.left - 1 }
+    round: self.round === undefined || self.round.ticksLeft <= 1 ? undefined : { ...self.round, ticksLeft: self.round.ticksLeft - 1 }
   }
 }
