--- a/spec/ownershipSpecification.ts
+++ b/spec/ownershipSpecification.ts
@@ -70,7 +70,7 @@
   readonly resigned: boolean
   readonly sentRenewals: readonly SentRenewal[]
   readonly inFlight: readonly OwnershipLogRecord[]
-  readonly round: { readonly ticksLeft: number, readonly missing: number } | undefined
+  readonly promiseRound: { readonly ticksLeft: number, readonly missing: number } | undefined
 }
 
 export interface OwnershipState {
@@ -133,7 +133,7 @@
     resigned: false,
     sentRenewals: [],
     inFlight: [],
-    round: undefined
+    promiseRound: undefined
   }))
   const base: LogView = { term: 1, owner: 0, released: false, electors: bounds.electors, lastRenewal: 0 }
   return { base, log: [], instances, crashes: 0, releases: 0, driftRest: 0 }
@@ -225,11 +225,11 @@
       case 'release': {
         const self = state.instances[event.at] as InstanceState
         const record = { kind: 'release' as const, by: self.identity, term: this.view(state, event.at).term }
-        return { ...this.replace(state, event.at, { ...self, resigned: true, leaseTicks: 0, round: undefined, inFlight: this.launch(self, record) }), releases: state.releases + 1 }
+        return { ...this.replace(state, event.at, { ...self, resigned: true, leaseTicks: 0, promiseRound: undefined, inFlight: this.launch(self, record) }), releases: state.releases + 1 }
       }
       case 'crash': {
         const self = state.instances[event.at] as InstanceState
-        const down: InstanceState = { ...self, up: false, recordsRead: 0, leaseTicks: 0, ownerExpiryWait: 0, takeoverWait: 0, promiseTicks: 0, lastClaimedTerm: 0, resigned: false, sentRenewals: [], round: undefined }
+        const down: InstanceState = { ...self, up: false, recordsRead: 0, leaseTicks: 0, ownerExpiryWait: 0, takeoverWait: 0, promiseTicks: 0, lastClaimedTerm: 0, resigned: false, sentRenewals: [], promiseRound: undefined }
         return { ...this.replace(state, event.at, down), crashes: state.crashes + 1 }
       }
       case 'restart': {
@@ -259,8 +259,8 @@
       if (current !== others) events.push({ type: 'renew', at, electors: current })
     }
     if (state.releases < this.bounds.releases) events.push({ type: 'release', at })
-    if (this.bounds.outageRule === 'promises' && (self.round === undefined || self.round.ticksLeft < LEASE_TICKS)) events.push({ type: 'ask', at })
-    const { round } = self
+    if (this.bounds.outageRule === 'promises' && (self.promiseRound === undefined || self.promiseRound.ticksLeft < LEASE_TICKS)) events.push({ type: 'ask', at })
+    const { promiseRound: round } = self
     if (round === undefined) return events
     state.instances.forEach((other, by) => {
       if (other.up && has(round.missing, other.identity) && this.mayPromise(state, at, by)) events.push({ type: 'grant', at, by })
@@ -300,18 +300,18 @@
     const confirmed = this.view(state, at).electors
     const all = this.bounds.fault === 'confirmedElectorsOnly' ? confirmed : self.sentRenewals.reduce((set, renewal) => set | renewal.electors, confirmed)
     const missing = all & ~setOf(self.identity)
-    if (missing === 0) return this.replace(state, at, { ...self, leaseTicks: LEASE_TICKS, round: undefined })
-    return this.replace(state, at, { ...self, round: { ticksLeft: LEASE_TICKS, missing } })
+    if (missing === 0) return this.replace(state, at, { ...self, leaseTicks: LEASE_TICKS, promiseRound: undefined })
+    return this.replace(state, at, { ...self, promiseRound: { ticksLeft: LEASE_TICKS, missing } })
   }
 
   private grant (state: OwnershipState, at: number, by: number): OwnershipState {
     const self = state.instances[at] as InstanceState
     const other = state.instances[by] as InstanceState
-    const round = self.round as NonNullable<InstanceState['round']>
+    const round = self.promiseRound as NonNullable<InstanceState['promiseRound']>
     const missing = round.missing & ~setOf(other.identity)
     const promised = this.replace(state, by, { ...other, promiseTicks: LEASE_TICKS + this.margin })
     const enough = missing === 0 || this.bounds.fault === 'majorityOfPromises'
-    const owner: InstanceState = enough ? { ...self, leaseTicks: Math.max(self.leaseTicks, round.ticksLeft), round: undefined } : { ...self, round: { ...round, missing } }
+    const owner: InstanceState = enough ? { ...self, leaseTicks: Math.max(self.leaseTicks, round.ticksLeft), promiseRound: undefined } : { ...self, promiseRound: { ...round, missing } }
     return this.replace(promised, at, owner)
   }
 
@@ -330,7 +330,7 @@
     if (after.term !== before.term) {
       const own = after.owner === self.identity
       const wait = before.released || this.bounds.fault === 'takeoverWithoutWaiting' ? 0 : Math.max(self.ownerExpiryWait, this.bounds.fault === 'claimUnderPromise' ? 0 : self.promiseTicks)
-      return { ...self, recordsRead: read, ownerExpiryWait: own ? 0 : quiet, leaseTicks: 0, takeoverWait: own ? wait : 0, sentRenewals: [], round: undefined, resigned: false, lastClaimedTerm: 0 }
+      return { ...self, recordsRead: read, ownerExpiryWait: own ? 0 : quiet, leaseTicks: 0, takeoverWait: own ? wait : 0, sentRenewals: [], promiseRound: undefined, resigned: false, lastClaimedTerm: 0 }
     }
     if (after.released) return { ...self, recordsRead: read }
     if (after.owner !== self.identity) return { ...self, recordsRead: read, ownerExpiryWait: quiet }
@@ -396,7 +396,7 @@
     : record.kind === 'claim' ? `c${record.by},${record.after - base.term},${record.electors},${record.ownerAndElectorsGone}` : `e${record.by},${record.term - base.term}`
   const instances = state.instances.map(self => [
     self.identity, self.up, self.recordsRead, self.leaseTicks, promisesMatter ? `${self.ownerExpiryWait},${self.promiseTicks}` : Math.max(self.ownerExpiryWait, self.promiseTicks), self.takeoverWait, self.lastClaimedTerm === 0 ? '' : Math.max(-1, self.lastClaimedTerm - base.term), self.resigned,
-    self.sentRenewals.map(renewal => `${ranks.indexOf(renewal.number)},${renewal.electors},${renewal.left}`).join(';'), self.inFlight.map(text).join(';'), self.round === undefined ? '' : `${self.round.ticksLeft},${self.round.missing}`
+    self.sentRenewals.map(renewal => `${ranks.indexOf(renewal.number)},${renewal.electors},${renewal.left}`).join(';'), self.inFlight.map(text).join(';'), self.promiseRound === undefined ? '' : `${self.promiseRound.ticksLeft},${self.promiseRound.missing}`
   ].join(' '))
   return [base.owner, base.released, base.electors, ranks.indexOf(base.lastRenewal), state.crashes, state.releases, state.driftRest, ...state.log.map(text), '', ...instances].join('|')
 }
@@ -419,7 +419,7 @@
     identity: identity(self.identity),
     sent: self.sentRenewals.map(renewal => ({ ...renewal, electors: set(renewal.electors) })),
     flight: self.inFlight.map(record),
-    round: self.round === undefined ? undefined : { ...self.round, missing: set(self.round.missing) }
+    round: self.promiseRound === undefined ? undefined : { ...self.promiseRound, missing: set(self.promiseRound.missing) }
   }))
   const ordered = instances.map((_, at) => instances[at === first ? second : at === second ? first : at] as InstanceState)
   return { ...state, base: { ...state.base, owner: identity(state.base.owner), electors: set(state.base.electors) }, log: state.log.map(record), instances: ordered }
@@ -434,6 +434,6 @@
     takeoverWait: down(self.takeoverWait),
     promiseTicks: down(self.promiseTicks),
     sentRenewals: self.sentRenewals.map(renewal => ({ ...renewal, left: down(renewal.left) })),
-    round: self.round === undefined || self.round.ticksLeft <= 1 ? undefined : { ...self.round, ticksLeft: self.round.ticksLeft - 1 }
+    promiseRound: self.promiseRound === undefined || self.promiseRound.ticksLeft <= 1 ? undefined : { ...self.promiseRound, ticksLeft: self.promiseRound.ticksLeft - 1 }
   }
 }
