--- a/spec/ownershipSpecification.ts
+++ b/spec/ownershipSpecification.ts
@@ -50,7 +50,7 @@
   readonly number: number
   readonly electors: number
   /** Ticks of lease that a confirmation gives now. */
-  readonly left: number
+  readonly leaseTicks: number
 }
 
 /** One process. Its identity differs after a restart. */
@@ -335,7 +335,7 @@
     if (after.released) return { ...self, recordsRead: read }
     if (after.owner !== self.identity) return { ...self, recordsRead: read, ownerExpiryWait: quiet }
     const confirmed = self.sentRenewals.find(renewal => renewal.number === after.lastRenewal)
-    const gained = this.bounds.fault === 'leaseFromAfterAppend' ? LEASE_TICKS : confirmed?.left ?? 0
+    const gained = this.bounds.fault === 'leaseFromAfterAppend' ? LEASE_TICKS : confirmed?.leaseTicks ?? 0
     const sent = self.sentRenewals.filter(renewal => renewal.number > after.lastRenewal)
     return { ...self, recordsRead: read, sentRenewals: sent, leaseTicks: self.resigned && this.bounds.fault !== 'renewalRevivesReleased' ? 0 : Math.max(self.leaseTicks, gained), resigned: self.resigned && this.bounds.fault !== 'renewalRevivesReleased' }
   }
@@ -396,7 +396,7 @@
     : record.kind === 'claim' ? `c${record.by},${record.after - base.term},${record.electors},${record.ownerAndElectorsGone}` : `e${record.by},${record.term - base.term}`
   const instances = state.instances.map(self => [
     self.identity, self.up, self.recordsRead, self.leaseTicks, promisesMatter ? `${self.ownerExpiryWait},${self.promiseTicks}` : Math.max(self.ownerExpiryWait, self.promiseTicks), self.takeoverWait, self.lastClaimedTerm === 0 ? '' : Math.max(-1, self.lastClaimedTerm - base.term), self.resigned,
-    self.sentRenewals.map(renewal => `${ranks.indexOf(renewal.number)},${renewal.electors},${renewal.left}`).join(';'), self.inFlight.map(text).join(';'), self.promiseRound === undefined ? '' : `${self.promiseRound.ticksLeft},${self.promiseRound.missing}`
+    self.sentRenewals.map(renewal => `${ranks.indexOf(renewal.number)},${renewal.electors},${renewal.leaseTicks}`).join(';'), self.inFlight.map(text).join(';'), self.promiseRound === undefined ? '' : `${self.promiseRound.ticksLeft},${self.promiseRound.missing}`
   ].join(' '))
   return [base.owner, base.released, base.electors, ranks.indexOf(base.lastRenewal), state.crashes, state.releases, state.driftRest, ...state.log.map(text), '', ...instances].join('|')
 }
@@ -433,7 +433,7 @@
     ownerExpiryWait: down(self.ownerExpiryWait),
     takeoverWait: down(self.takeoverWait),
     promiseTicks: down(self.promiseTicks),
-    sentRenewals: self.sentRenewals.map(renewal => ({ ...renewal, left: down(renewal.left) })),
+    sentRenewals: self.sentRenewals.map(renewal => ({ ...renewal, left: down(renewal.leaseTicks) })),
     promiseRound: self.promiseRound === undefined || self.promiseRound.ticksLeft <= 1 ? undefined : { ...self.promiseRound, ticksLeft: self.promiseRound.ticksLeft - 1 }
   }
 }
