--- a/spec/ownershipSpecification.ts
+++ b/spec/ownershipSpecification.ts
@@ -82,7 +82,7 @@
   readonly crashes: number
   readonly releases: number
   /** Ticks until the slow clock may miss another tick. */
-  readonly driftRest: number
+  readonly ticksToNextDrift: number
 }
 
 export type OwnershipEvent =
@@ -136,7 +136,7 @@
     promiseRound: undefined
   }))
   const base: LogView = { term: 1, owner: 0, released: false, electors: bounds.electors, lastRenewal: 0 }
-  return { base, log: [], instances, crashes: 0, releases: 0, driftRest: 0 }
+  return { base, log: [], instances, crashes: 0, releases: 0, ticksToNextDrift: 0 }
 }
 
 /** The specification under given bounds. */
@@ -170,7 +170,7 @@
   /** Events that are possible in a state. */
   events (state: OwnershipState): OwnershipEvent[] {
     const events: OwnershipEvent[] = [{ type: 'tick', slow: false }]
-    if (this.bounds.slowClock >= 0 && state.driftRest === 0) events.push({ type: 'tick', slow: true })
+    if (this.bounds.slowClock >= 0 && state.ticksToNextDrift === 0) events.push({ type: 'tick', slow: true })
     state.instances.forEach((self, at) => {
       self.inFlight.forEach((_, index) => {
         if (state.log.length < this.bounds.unread) events.push({ type: 'land', at, index })
@@ -342,7 +342,7 @@
 
   private tick (state: OwnershipState, slow: boolean): OwnershipState {
     const instances = state.instances.map((self, at) => slow && at === this.bounds.slowClock ? self : passTick(self))
-    return { ...state, instances, driftRest: slow ? (this.bounds.repeatedDrift ? LEASE_TICKS : Infinity) : Math.max(0, state.driftRest - 1) }
+    return { ...state, instances, ticksToNextDrift: slow ? (this.bounds.repeatedDrift ? LEASE_TICKS : Infinity) : Math.max(0, state.ticksToNextDrift - 1) }
   }
 
   private viewOf (state: OwnershipState, read: number): LogView {
@@ -398,7 +398,7 @@
     self.identity, self.up, self.recordsRead, self.leaseTicks, promisesMatter ? `${self.ownerExpiryWait},${self.promiseTicks}` : Math.max(self.ownerExpiryWait, self.promiseTicks), self.takeoverWait, self.lastClaimedTerm === 0 ? '' : Math.max(-1, self.lastClaimedTerm - base.term), self.resigned,
     self.sentRenewals.map(renewal => `${ranks.indexOf(renewal.number)},${renewal.electors},${renewal.leaseTicks}`).join(';'), self.inFlight.map(text).join(';'), self.promiseRound === undefined ? '' : `${self.promiseRound.ticksLeft},${self.promiseRound.missing}`
   ].join(' '))
-  return [base.owner, base.released, base.electors, ranks.indexOf(base.lastRenewal), state.crashes, state.releases, state.driftRest, ...state.log.map(text), '', ...instances].join('|')
+  return [base.owner, base.released, base.electors, ranks.indexOf(base.lastRenewal), state.crashes, state.releases, state.ticksToNextDrift, ...state.log.map(text), '', ...instances].join('|')
 }
 
 /** The same state with two instances in each other's place. */
