--- a/spec/ownershipSpecification.ts
+++ b/spec/ownershipSpecification.ts
@@ -212,7 +212,7 @@
         return { ...rest, log: [...state.log, record] }
       }
       case 'ask':
-        return this.ask(state, event.at)
+        return this.startPromiseRound(state, event.at)
       case 'grant':
         return this.grant(state, event.at, event.by)
       case 'claim': {
@@ -295,7 +295,7 @@
     return !state.instances.some(other => other.up && has(holders, other.identity))
   }
 
-  private ask (state: OwnershipState, at: number): OwnershipState {
+  private startPromiseRound (state: OwnershipState, at: number): OwnershipState {
     const self = state.instances[at] as InstanceState
     const confirmed = this.view(state, at).electors
     const all = this.bounds.fault === 'confirmedElectorsOnly' ? confirmed : self.sentRenewals.reduce((set, renewal) => set | renewal.electors, confirmed)
