--- a/spec/ownershipSpecification.ts
+++ b/spec/ownershipSpecification.ts
@@ -214,7 +214,7 @@
       case 'ask':
         return this.startPromiseRound(state, event.at)
       case 'grant':
-        return this.grant(state, event.at, event.by)
+        return this.grantPromise(state, event.at, event.by)
       case 'claim': {
         const self = state.instances[event.at] as InstanceState
         const { term } = this.view(state, event.at)
@@ -304,7 +304,7 @@
     return this.replace(state, at, { ...self, promiseRound: { ticksLeft: LEASE_TICKS, missing } })
   }
 
-  private grant (state: OwnershipState, at: number, by: number): OwnershipState {
+  private grantPromise (state: OwnershipState, at: number, by: number): OwnershipState {
     const self = state.instances[at] as InstanceState
     const other = state.instances[by] as InstanceState
     const round = self.promiseRound as NonNullable<InstanceState['promiseRound']>
