--- a/spec/ownershipSpecification.ts
+++ b/spec/ownershipSpecification.ts
@@ -219,7 +219,7 @@
         const self = state.instances[event.at] as InstanceState
         const { term } = this.view(state, event.at)
         const others = state.instances.reduce((set, other, index) => index === event.at || !other.up ? set : set | setOf(other.identity), 0)
-        const record = { kind: 'claim' as const, by: self.identity, after: term, electors: others, gone: this.allGone(state, event.at) }
+        const record = { kind: 'claim' as const, by: self.identity, after: term, electors: others, gone: this.ownerAndElectorsGone(state, event.at) }
         return this.replace(state, event.at, { ...self, lastClaimedTerm: term, inFlight: this.launch(self, record) })
       }
       case 'release': {
@@ -283,11 +283,11 @@
     if (view.released) return true
     if (self.ownerExpiryWait > 0) return false
     if (self.promiseTicks > 0 && this.bounds.fault !== 'claimUnderPromise') return false
-    return has(view.electors, self.identity) || this.allGone(state, at)
+    return has(view.electors, self.identity) || this.ownerAndElectorsGone(state, at)
   }
 
   /** Whether the platform's list shows neither the owner nor any elector. It drops only processes that have ended. */
-  private allGone (state: OwnershipState, at: number): boolean {
+  private ownerAndElectorsGone (state: OwnershipState, at: number): boolean {
     const view = this.view(state, at)
     if (view.released || has(view.electors, (state.instances[at] as InstanceState).identity)) return false
     const holders = view.electors | setOf(view.owner)
