--- a/spec/ownershipSpecification.ts
+++ b/spec/ownershipSpecification.ts
@@ -203,7 +203,7 @@
         const number = this.lastNumber(state, event.at) + 1
         const record = { kind: 'renewal' as const, by: self.identity, term: this.view(state, event.at).term, number, electors: event.electors }
         const sent = [...self.sentRenewals, { number, electors: event.electors, left: LEASE_TICKS }]
-        return this.replace(state, event.at, { ...self, sentRenewals: sent, inFlight: this.launch(self, record) })
+        return this.replace(state, event.at, { ...self, sentRenewals: sent, inFlight: this.addInFlight(self, record) })
       }
       case 'land': {
         const self = state.instances[event.at] as InstanceState
@@ -220,12 +220,12 @@
         const { term } = this.view(state, event.at)
         const others = state.instances.reduce((set, other, index) => index === event.at || !other.up ? set : set | setOf(other.identity), 0)
         const record = { kind: 'claim' as const, by: self.identity, after: term, electors: others, gone: this.ownerAndElectorsGone(state, event.at) }
-        return this.replace(state, event.at, { ...self, lastClaimedTerm: term, inFlight: this.launch(self, record) })
+        return this.replace(state, event.at, { ...self, lastClaimedTerm: term, inFlight: this.addInFlight(self, record) })
       }
       case 'release': {
         const self = state.instances[event.at] as InstanceState
         const record = { kind: 'release' as const, by: self.identity, term: this.view(state, event.at).term }
-        return { ...this.replace(state, event.at, { ...self, resigned: true, leaseTicks: 0, promiseRound: undefined, inFlight: this.launch(self, record) }), releases: state.releases + 1 }
+        return { ...this.replace(state, event.at, { ...self, resigned: true, leaseTicks: 0, promiseRound: undefined, inFlight: this.addInFlight(self, record) }), releases: state.releases + 1 }
       }
       case 'crash': {
         const self = state.instances[event.at] as InstanceState
@@ -240,7 +240,7 @@
   }
 
   /** A record in flight that is not delivered any more is lost; the oldest goes first. */
-  private launch (self: InstanceState, record: OwnershipLogRecord): OwnershipLogRecord[] {
+  private addInFlight (self: InstanceState, record: OwnershipLogRecord): OwnershipLogRecord[] {
     return [...self.inFlight, record].slice(-this.bounds.inFlight)
   }
 
