--- a/spec/ownershipSpecification.ts
+++ b/spec/ownershipSpecification.ts
@@ -189,7 +189,7 @@
 
   /** The transition function. */
   next (state: OwnershipState, event: OwnershipEvent): OwnershipState {
-    return this.settle(this.apply(state, event))
+    return this.compact(this.apply(state, event))
   }
 
   private apply (state: OwnershipState, event: OwnershipEvent): OwnershipState {
@@ -352,7 +352,7 @@
   }
 
   /** Folds records that every live instance has read into the base and drops records in flight that can have no effect. */
-  private settle (state: OwnershipState): OwnershipState {
+  private compact (state: OwnershipState): OwnershipState {
     const readByAll = state.instances.reduce((least, self) => self.up ? Math.min(least, self.recordsRead) : least, state.log.length)
     const base = this.viewOf(state, readByAll)
     const instances = state.instances.map(self => ({
