--- a/spec/ownershipSpecification.ts
+++ b/spec/ownershipSpecification.ts
@@ -317,11 +317,11 @@
 
   private readAll (state: OwnershipState, at: number): InstanceState {
     let self = state.instances[at] as InstanceState
-    for (let index = self.recordsRead; index < state.log.length; index += 1) self = this.readOne(state, self, index)
+    for (let index = self.recordsRead; index < state.log.length; index += 1) self = this.applyRecord(state, self, index)
     return self
   }
 
-  private readOne (state: OwnershipState, self: InstanceState, index: number): InstanceState {
+  private applyRecord (state: OwnershipState, self: InstanceState, index: number): InstanceState {
     const before = this.viewOf(state, index)
     const after = decideRecord(before, state.log[index] as OwnershipLogRecord, this.bounds.fault)
     const read = index + 1
