--- a/spec/ownershipSpecification.ts
+++ b/spec/ownershipSpecification.ts
@@ -200,7 +200,7 @@
         return this.replace(state, event.at, this.readAll(state, event.at))
       case 'renew': {
         const self = state.instances[event.at] as InstanceState
-        const number = this.lastNumber(state, event.at) + 1
+        const number = this.lastRenewalNumber(state, event.at) + 1
         const record = { kind: 'renewal' as const, by: self.identity, term: this.view(state, event.at).term, number, electors: event.electors }
         const sent = [...self.sentRenewals, { number, electors: event.electors, left: LEASE_TICKS }]
         return this.replace(state, event.at, { ...self, sentRenewals: sent, inFlight: this.addInFlight(self, record) })
@@ -244,7 +244,7 @@
     return [...self.inFlight, record].slice(-this.bounds.inFlight)
   }
 
-  private lastNumber (state: OwnershipState, at: number): number {
+  private lastRenewalNumber (state: OwnershipState, at: number): number {
     const self = state.instances[at] as InstanceState
     return Math.max(this.view(state, at).lastRenewal, ...self.sentRenewals.map(renewal => renewal.number))
   }
