--- a/spec/ownershipSpecification.ts
+++ b/spec/ownershipSpecification.ts
@@ -382,7 +382,7 @@
   const promisesMatter = bounds.fault === 'claimUnderPromise'
   const key = keyOf(state, promisesMatter)
   if (exchangeable === undefined) return key
-  const other = keyOf(exchange(state, ...exchangeable), promisesMatter)
+  const other = keyOf(swapInstances(state, ...exchangeable), promisesMatter)
   return other < key ? other : key
 }
 
@@ -402,7 +402,7 @@
 }
 
 /** The same state with two instances in each other's place. */
-function exchange (state: OwnershipState, first: number, second: number): OwnershipState {
+function swapInstances (state: OwnershipState, first: number, second: number): OwnershipState {
   const count = state.instances.length
   const identity = (old: number): number => {
     const at = old % count
