--- a/spec/ownershipSpecification.ts
+++ b/spec/ownershipSpecification.ts
@@ -341,7 +341,7 @@
   }
 
   private tick (state: OwnershipState, slow: boolean): OwnershipState {
-    const instances = state.instances.map((self, at) => slow && at === this.bounds.slowClock ? self : passTick(self))
+    const instances = state.instances.map((self, at) => slow && at === this.bounds.slowClock ? self : advanceTick(self))
     return { ...state, instances, ticksToNextDrift: slow ? (this.bounds.repeatedDrift ? LEASE_TICKS : Infinity) : Math.max(0, state.ticksToNextDrift - 1) }
   }
 
@@ -425,7 +425,7 @@
   return { ...state, base: { ...state.base, owner: identity(state.base.owner), electors: set(state.base.electors) }, log: state.log.map(record), instances: ordered }
 }
 
-function passTick (self: InstanceState): InstanceState {
+function advanceTick (self: InstanceState): InstanceState {
   const down = (ticks: number): number => Math.max(0, ticks - 1)
   return {
     ...self,
