--- a/test/fuzz/faults.ts
+++ b/test/fuzz/faults.ts
@@ -20,7 +20,7 @@
   readonly seed: number
   /** Smallest number of runs that finds it with the seed. */
   readonly runs: number
-  readonly options: Pick<FuzzOptions, 'plant' | 'wrapConnections' | 'keys'>
+  readonly options: Pick<FuzzOptions, 'injectFault' | 'wrapConnections' | 'keys'>
 }
 
 type Method = (this: never, ...given: never[]) => unknown
