--- a/spec/explore.ts
+++ b/spec/explore.ts
@@ -4,14 +4,14 @@
 /** Outcome of an exhaustive exploration. */
 export interface Exploration<State> {
   readonly states: number
-  /** A state that breaks the invariant, or undefined. */
+  /** A state that violates the invariant, or undefined. */
   readonly violation: State | undefined
 }
 
-/** Most states that one exploration may visit; the traversal's cost grows with the square of their number. */
+/** Maximum number of states that one exploration may visit; the cost of the traversal is quadratic in it. */
 export const MAXIMUM_STATES = 40_000
 
-/** What is explored: a transition function, the events of each state, and an invariant. */
+/** State machine to explore: a transition function, the events that are possible in each state, and an invariant. */
 export interface Explorable<State, Event extends AnyEventObject> {
   readonly initial: State
   readonly next: (state: State, event: Event) => State
@@ -20,7 +20,7 @@
   readonly invariantHolds: (state: State) => boolean
 }
 
-/** Visits every reachable state; does not go on from a state that breaks the invariant. Throws above `MAXIMUM_STATES`. */
+/** Visits every reachable state until one violates the invariant. Throws if there are more than `MAXIMUM_STATES`. */
 export function explore<State, Event extends AnyEventObject> (subject: Explorable<State, Event>): Exploration<State> {
   const logic = fromTransition((state: State, event: Event) => subject.next(state, event), subject.initial)
   let violation: State | undefined
--- a/spec/ownershipSpecification.ts
+++ b/spec/ownershipSpecification.ts
@@ -1,38 +1,39 @@
 /**
- * Ownership of one failure domain as a pure transition function, small enough to be explored exhaustively.
- * Time is counted in ticks that every clock takes together, except that one clock may miss one tick a lease (drift).
- * Pause, lag and a partition from the log need no events of their own: an instance that does nothing, reads nothing
- * or whose append never lands is paused, lagging or cut off.
+ * Specification of the ownership of one failure domain as a pure transition function, small enough to be explored exhaustively.
+ * All clocks advance together in ticks, except that one clock may miss one tick per lease (drift).
+ * Pauses, lag and a partition from the log need no events of their own: an instance that does nothing, reads nothing
+ * or whose appends are never stored is paused, lagging or partitioned.
  */
 
-/** Ways to weaken the protocol. Each must be found by the check. */
+/** Ways to weaken the protocol. The model check must find each of them. */
 export type OwnershipFault =
   | 'noDriftMargin' | 'leaseFromAfterAppend' | 'takeoverWithoutWaiting' | 'majorityOfPromises'
   | 'confirmedElectorsOnly' | 'claimUnderPromise' | 'promiseAfterAbandonedClaim' | 'renewalsWithoutNumber'
   | 'renewalRevivesReleased' | 'listDropsLivingInstances'
 
-/** What the owner does when it cannot renew its lease in the log. */
+/** Behaviour of the owner when it cannot renew its lease in the log. */
 export type OutageRule = 'promises' | 'stopAtLeaseEnd' | 'leaseFree'
 
-/** Bounds of one exploration. Instance 0 owns term 1 at the start. */
+/** Bounds of one exploration. Instance 0 is the owner of term 1 in the initial state. */
 export interface OwnershipBounds {
   readonly instances: number
-  /** Electors of term 1, as a set of identities. */
+  /** Electors of term 1, as a bit set of identities. */
   readonly electors: number
-  /** Records that some live instance has not read yet. */
+  /** Maximum number of records that some live instance has not read yet. */
   readonly unread: number
-  /** Renewals of one owner that are not confirmed. */
+  /** Maximum number of unconfirmed renewals of one owner. */
   readonly unconfirmed: number
-  /** Records of one instance on their way to the log. */
+  /** Maximum number of records of one instance whose append is in flight. */
   readonly inFlight: number
+  /** Last term that is explored. */
   readonly terms: number
-  /** Instances from this one on neither renew nor ask for promises; in the last term they count as owner as soon as they may act. */
+  /** Instances from this index on neither renew nor request promises; in the last term they count as owner as soon as they may act. */
   readonly passiveFrom: number
   readonly crashes: number
   readonly releases: number
-  /** Instance whose clock may miss ticks, or -1. */
+  /** Index of the instance whose clock may miss ticks, or -1. */
   readonly slowClock: number
-  /** Whether the slow clock may miss one tick in each lease; otherwise it misses one in all. */
+  /** Whether the slow clock may miss one tick in each lease; otherwise it misses at most one in total. */
   readonly repeatedDrift: boolean
   readonly outageRule: OutageRule
   readonly fault?: OwnershipFault
@@ -41,6 +42,7 @@
 export const LEASE_TICKS = 2
 export const MARGIN_TICKS = 1
 
+/** `by` is the identity of the writer, `after` the term that a claim succeeds, and `electors` a bit set of identities. */
 export type OwnershipLogRecord =
   | { readonly kind: 'claim', readonly by: number, readonly after: number, readonly electors: number, readonly ownerAndElectorsGone: boolean }
   | { readonly kind: 'renewal', readonly by: number, readonly term: number, readonly number: number, readonly electors: number }
@@ -49,23 +51,24 @@
 interface SentRenewal {
   readonly number: number
   readonly electors: number
-  /** Ticks of lease that a confirmation gives now. */
+  /** Remaining lease ticks if the renewal is confirmed now. */
   readonly leaseTicks: number
 }
 
-/** One process. Its identity differs after a restart. */
+/** State of one process. A restart changes its identity. */
 export interface InstanceState {
   readonly identity: number
   readonly up: boolean
-  /** Records read of `log`. */
+  /** Number of records of `log` that this instance has read. */
   readonly recordsRead: number
   readonly leaseTicks: number
-  /** Ticks until the owner has been silent for lease and margin. */
+  /** Ticks until the lease of the owner has certainly expired: lease and margin after its last record. */
   readonly ownerExpiryWait: number
   /** Ticks until this instance may act in the term it has claimed. */
   readonly takeoverWait: number
+  /** Ticks until the promise of this instance not to claim expires. */
   readonly promiseTicks: number
-  /** Term after which this instance has sent a claim; 0 if none. */
+  /** Term in which this instance has sent a claim; 0 if none. */
   readonly lastClaimedTerm: number
   readonly resigned: boolean
   readonly sentRenewals: readonly SentRenewal[]
@@ -74,9 +77,9 @@
 }
 
 export interface OwnershipState {
-  /** What the records say that every live instance has read. */
+  /** State decided by the records that every live instance has read. */
   readonly base: LogView
-  /** Later records. */
+  /** Records after `base`. */
   readonly log: readonly OwnershipLogRecord[]
   readonly instances: readonly InstanceState[]
   readonly crashes: number
@@ -85,14 +88,15 @@
   readonly ticksToNextDrift: number
 }
 
+/** `at` and `by` are indexes of instances, `index` is a position among the records in flight. */
 export type OwnershipEvent =
   | { readonly type: 'tick', readonly slow: boolean }
-  | { readonly type: 'read' | 'ask' | 'crash' | 'restart' | 'claim' | 'release', readonly at: number }
-  | { readonly type: 'land', readonly at: number, readonly index: number }
+  | { readonly type: 'read' | 'requestPromises' | 'crash' | 'restart' | 'claim' | 'release', readonly at: number }
+  | { readonly type: 'append', readonly at: number, readonly index: number }
   | { readonly type: 'renew', readonly at: number, readonly electors: number }
   | { readonly type: 'grant', readonly at: number, readonly by: number }
 
-/** What a prefix of the log says. */
+/** State decided by a prefix of the log. */
 export interface LogView {
   readonly term: number
   readonly owner: number
@@ -104,7 +108,7 @@
 const has = (set: number, identity: number): boolean => (set & (1 << identity)) !== 0
 const setOf = (identity: number): number => 1 << identity
 
-/** Decides a record. Returns the same view if the record has no effect. */
+/** Applies a record. Returns the same view if the record has no effect. */
 export function decideRecord (view: LogView, record: OwnershipLogRecord, fault?: OwnershipFault): LogView {
   switch (record.kind) {
     case 'claim':
@@ -139,7 +143,7 @@
   return { base, log: [], instances, crashes: 0, releases: 0, ticksToNextDrift: 0 }
 }
 
-/** The specification under given bounds. */
+/** Transition function and possible events under given bounds. */
 export class OwnershipSpecification {
   private readonly margin: number
 
@@ -156,7 +160,7 @@
     return !view.released && view.owner === state.instances[at]?.identity
   }
 
-  /** Whether the instance would act as owner now. */
+  /** Returns whether the instance may act as owner now. */
   isOwner (state: OwnershipState, at: number): boolean {
     const self = state.instances[at] as InstanceState
     if (!self.up || self.resigned || self.takeoverWait > 0 || !this.holdsTerm(state, at)) return false
@@ -167,13 +171,13 @@
     return state.instances.flatMap((_, at) => this.isOwner(state, at) ? [at] : [])
   }
 
-  /** Events that are possible in a state. */
+  /** Returns the events that are possible in a state. */
   events (state: OwnershipState): OwnershipEvent[] {
     const events: OwnershipEvent[] = [{ type: 'tick', slow: false }]
     if (this.bounds.slowClock >= 0 && state.ticksToNextDrift === 0) events.push({ type: 'tick', slow: true })
     state.instances.forEach((self, at) => {
       self.inFlight.forEach((_, index) => {
-        if (state.log.length < this.bounds.unread) events.push({ type: 'land', at, index })
+        if (state.log.length < this.bounds.unread) events.push({ type: 'append', at, index })
       })
       if (!self.up) {
         events.push({ type: 'restart', at })
@@ -202,16 +206,16 @@
         const self = state.instances[event.at] as InstanceState
         const number = this.lastRenewalNumber(state, event.at) + 1
         const record = { kind: 'renewal' as const, by: self.identity, term: this.view(state, event.at).term, number, electors: event.electors }
-        const sent = [...self.sentRenewals, { number, electors: event.electors, left: LEASE_TICKS }]
-        return this.replace(state, event.at, { ...self, sentRenewals: sent, inFlight: this.addInFlight(self, record) })
+        const sentRenewals = [...self.sentRenewals, { number, electors: event.electors, leaseTicks: LEASE_TICKS }]
+        return this.replace(state, event.at, { ...self, sentRenewals, inFlight: this.addInFlight(self, record) })
       }
-      case 'land': {
+      case 'append': {
         const self = state.instances[event.at] as InstanceState
         const record = self.inFlight[event.index] as OwnershipLogRecord
         const rest = this.replace(state, event.at, { ...self, inFlight: self.inFlight.filter((_, index) => index !== event.index) })
         return { ...rest, log: [...state.log, record] }
       }
-      case 'ask':
+      case 'requestPromises':
         return this.startPromiseRound(state, event.at)
       case 'grant':
         return this.grantPromise(state, event.at, event.by)
@@ -219,7 +223,7 @@
         const self = state.instances[event.at] as InstanceState
         const { term } = this.view(state, event.at)
         const others = state.instances.reduce((set, other, index) => index === event.at || !other.up ? set : set | setOf(other.identity), 0)
-        const record = { kind: 'claim' as const, by: self.identity, after: term, electors: others, gone: this.ownerAndElectorsGone(state, event.at) }
+        const record = { kind: 'claim' as const, by: self.identity, after: term, electors: others, ownerAndElectorsGone: this.ownerAndElectorsGone(state, event.at) }
         return this.replace(state, event.at, { ...self, lastClaimedTerm: term, inFlight: this.addInFlight(self, record) })
       }
       case 'release': {
@@ -229,8 +233,8 @@
       }
       case 'crash': {
         const self = state.instances[event.at] as InstanceState
-        const down: InstanceState = { ...self, up: false, recordsRead: 0, leaseTicks: 0, ownerExpiryWait: 0, takeoverWait: 0, promiseTicks: 0, lastClaimedTerm: 0, resigned: false, sentRenewals: [], promiseRound: undefined }
-        return { ...this.replace(state, event.at, down), crashes: state.crashes + 1 }
+        const crashed: InstanceState = { ...self, up: false, recordsRead: 0, leaseTicks: 0, ownerExpiryWait: 0, takeoverWait: 0, promiseTicks: 0, lastClaimedTerm: 0, resigned: false, sentRenewals: [], promiseRound: undefined }
+        return { ...this.replace(state, event.at, crashed), crashes: state.crashes + 1 }
       }
       case 'restart': {
         const self = state.instances[event.at] as InstanceState
@@ -239,7 +243,7 @@
     }
   }
 
-  /** A record in flight that is not delivered any more is lost; the oldest goes first. */
+  /** Adds a record to those in flight. Above the bound, the oldest record is lost. */
   private addInFlight (self: InstanceState, record: OwnershipLogRecord): OwnershipLogRecord[] {
     return [...self.inFlight, record].slice(-this.bounds.inFlight)
   }
@@ -259,11 +263,11 @@
       if (current !== others) events.push({ type: 'renew', at, electors: current })
     }
     if (state.releases < this.bounds.releases) events.push({ type: 'release', at })
-    if (this.bounds.outageRule === 'promises' && (self.promiseRound === undefined || self.promiseRound.ticksLeft < LEASE_TICKS)) events.push({ type: 'ask', at })
-    const { promiseRound: round } = self
-    if (round === undefined) return events
+    if (this.bounds.outageRule === 'promises' && (self.promiseRound === undefined || self.promiseRound.ticksLeft < LEASE_TICKS)) events.push({ type: 'requestPromises', at })
+    const { promiseRound } = self
+    if (promiseRound === undefined) return events
     state.instances.forEach((other, by) => {
-      if (other.up && has(round.missing, other.identity) && this.mayPromise(state, at, by)) events.push({ type: 'grant', at, by })
+      if (other.up && has(promiseRound.missing, other.identity) && this.mayPromise(state, at, by)) events.push({ type: 'grant', at, by })
     })
     return events
   }
@@ -286,13 +290,13 @@
     return has(view.electors, self.identity) || this.ownerAndElectorsGone(state, at)
   }
 
-  /** Whether the platform's list shows neither the owner nor any elector. It drops only processes that have ended. */
+  /** Returns whether the platform's instance list contains neither the owner nor any elector. The list removes only processes that have ended. */
   private ownerAndElectorsGone (state: OwnershipState, at: number): boolean {
     const view = this.view(state, at)
     if (view.released || has(view.electors, (state.instances[at] as InstanceState).identity)) return false
-    const holders = view.electors | setOf(view.owner)
+    const ownerAndElectors = view.electors | setOf(view.owner)
     if (this.bounds.fault === 'listDropsLivingInstances') return true
-    return !state.instances.some(other => other.up && has(holders, other.identity))
+    return !state.instances.some(other => other.up && has(ownerAndElectors, other.identity))
   }
 
   private startPromiseRound (state: OwnershipState, at: number): OwnershipState {
@@ -324,20 +328,20 @@
   private applyRecord (state: OwnershipState, self: InstanceState, index: number): InstanceState {
     const before = this.viewOf(state, index)
     const after = decideRecord(before, state.log[index] as OwnershipLogRecord, this.bounds.fault)
-    const read = index + 1
-    if (after === before) return { ...self, recordsRead: read }
-    const quiet = LEASE_TICKS + this.margin
+    const recordsRead = index + 1
+    if (after === before) return { ...self, recordsRead }
+    const expiryWait = LEASE_TICKS + this.margin
     if (after.term !== before.term) {
       const own = after.owner === self.identity
       const wait = before.released || this.bounds.fault === 'takeoverWithoutWaiting' ? 0 : Math.max(self.ownerExpiryWait, this.bounds.fault === 'claimUnderPromise' ? 0 : self.promiseTicks)
-      return { ...self, recordsRead: read, ownerExpiryWait: own ? 0 : quiet, leaseTicks: 0, takeoverWait: own ? wait : 0, sentRenewals: [], promiseRound: undefined, resigned: false, lastClaimedTerm: 0 }
+      return { ...self, recordsRead, ownerExpiryWait: own ? 0 : expiryWait, leaseTicks: 0, takeoverWait: own ? wait : 0, sentRenewals: [], promiseRound: undefined, resigned: false, lastClaimedTerm: 0 }
     }
-    if (after.released) return { ...self, recordsRead: read }
-    if (after.owner !== self.identity) return { ...self, recordsRead: read, ownerExpiryWait: quiet }
+    if (after.released) return { ...self, recordsRead }
+    if (after.owner !== self.identity) return { ...self, recordsRead, ownerExpiryWait: expiryWait }
     const confirmed = self.sentRenewals.find(renewal => renewal.number === after.lastRenewal)
     const gained = this.bounds.fault === 'leaseFromAfterAppend' ? LEASE_TICKS : confirmed?.leaseTicks ?? 0
-    const sent = self.sentRenewals.filter(renewal => renewal.number > after.lastRenewal)
-    return { ...self, recordsRead: read, sentRenewals: sent, leaseTicks: self.resigned && this.bounds.fault !== 'renewalRevivesReleased' ? 0 : Math.max(self.leaseTicks, gained), resigned: self.resigned && this.bounds.fault !== 'renewalRevivesReleased' }
+    const sentRenewals = self.sentRenewals.filter(renewal => renewal.number > after.lastRenewal)
+    return { ...self, recordsRead, sentRenewals, leaseTicks: self.resigned && this.bounds.fault !== 'renewalRevivesReleased' ? 0 : Math.max(self.leaseTicks, gained), resigned: self.resigned && this.bounds.fault !== 'renewalRevivesReleased' }
   }
 
   private tick (state: OwnershipState, slow: boolean): OwnershipState {
@@ -351,14 +355,14 @@
     return view
   }
 
-  /** Folds records that every live instance has read into the base and drops records in flight that can have no effect. */
+  /** Folds the records that every live instance has read into the base, and drops records in flight that can no longer have an effect. */
   private compact (state: OwnershipState): OwnershipState {
     const readByAll = state.instances.reduce((least, self) => self.up ? Math.min(least, self.recordsRead) : least, state.log.length)
     const base = this.viewOf(state, readByAll)
     const instances = state.instances.map(self => ({
       ...self,
-      read: Math.max(0, self.recordsRead - readByAll),
-      flight: self.inFlight.filter(record => this.mayHaveEffect(base, record))
+      recordsRead: Math.max(0, self.recordsRead - readByAll),
+      inFlight: self.inFlight.filter(record => this.mayHaveEffect(base, record))
     }))
     return { ...state, base, log: state.log.slice(readByAll), instances }
   }
@@ -375,14 +379,14 @@
 }
 
 /**
- * Key of a state. Terms and renewal numbers count relative to the base, and of silence and promise only the longer one
- * counts, because a claim waits for both; so states that behave alike have one key. Exchangeable instances are put into a fixed order.
+ * Returns the key of a state. Equivalent states share one key: terms and renewal numbers are relative to the base, and only the
+ * longer of `ownerExpiryWait` and `promiseTicks` counts, because a claim waits for both. Interchangeable instances are put into a fixed order.
  */
-export function serializeOwnership (state: OwnershipState, bounds: OwnershipBounds, exchangeable?: readonly [number, number]): string {
+export function serializeOwnership (state: OwnershipState, bounds: OwnershipBounds, interchangeable?: readonly [number, number]): string {
   const promisesMatter = bounds.fault === 'claimUnderPromise'
   const key = keyOf(state, promisesMatter)
-  if (exchangeable === undefined) return key
-  const other = keyOf(swapInstances(state, ...exchangeable), promisesMatter)
+  if (interchangeable === undefined) return key
+  const other = keyOf(swapInstances(state, ...interchangeable), promisesMatter)
   return other < key ? other : key
 }
 
@@ -401,7 +405,7 @@
   return [base.owner, base.released, base.electors, ranks.indexOf(base.lastRenewal), state.crashes, state.releases, state.ticksToNextDrift, ...state.log.map(text), '', ...instances].join('|')
 }
 
-/** The same state with two instances in each other's place. */
+/** Returns the same state with two instances swapped. */
 function swapInstances (state: OwnershipState, first: number, second: number): OwnershipState {
   const count = state.instances.length
   const identity = (old: number): number => {
@@ -417,23 +421,23 @@
   const instances = state.instances.map(self => ({
     ...self,
     identity: identity(self.identity),
-    sent: self.sentRenewals.map(renewal => ({ ...renewal, electors: set(renewal.electors) })),
-    flight: self.inFlight.map(record),
-    round: self.promiseRound === undefined ? undefined : { ...self.promiseRound, missing: set(self.promiseRound.missing) }
+    sentRenewals: self.sentRenewals.map(renewal => ({ ...renewal, electors: set(renewal.electors) })),
+    inFlight: self.inFlight.map(record),
+    promiseRound: self.promiseRound === undefined ? undefined : { ...self.promiseRound, missing: set(self.promiseRound.missing) }
   }))
   const ordered = instances.map((_, at) => instances[at === first ? second : at === second ? first : at] as InstanceState)
   return { ...state, base: { ...state.base, owner: identity(state.base.owner), electors: set(state.base.electors) }, log: state.log.map(record), instances: ordered }
 }
 
 function advanceTick (self: InstanceState): InstanceState {
-  const down = (ticks: number): number => Math.max(0, ticks - 1)
+  const decrement = (ticks: number): number => Math.max(0, ticks - 1)
   return {
     ...self,
-    leaseTicks: down(self.leaseTicks),
-    ownerExpiryWait: down(self.ownerExpiryWait),
-    takeoverWait: down(self.takeoverWait),
-    promiseTicks: down(self.promiseTicks),
-    sentRenewals: self.sentRenewals.map(renewal => ({ ...renewal, left: down(renewal.leaseTicks) })),
+    leaseTicks: decrement(self.leaseTicks),
+    ownerExpiryWait: decrement(self.ownerExpiryWait),
+    takeoverWait: decrement(self.takeoverWait),
+    promiseTicks: decrement(self.promiseTicks),
+    sentRenewals: self.sentRenewals.map(renewal => ({ ...renewal, leaseTicks: decrement(renewal.leaseTicks) })),
     promiseRound: self.promiseRound === undefined || self.promiseRound.ticksLeft <= 1 ? undefined : { ...self.promiseRound, ticksLeft: self.promiseRound.ticksLeft - 1 }
   }
 }
--- a/spec/taskSpecification.ts
+++ b/spec/taskSpecification.ts
@@ -1,9 +1,10 @@
-/** One task on two workers under task leases, while ownership passes from one owner to the next. */
+/** Specification of one task on two workers under task leases, while ownership passes from one owner to the next. */
 
+/** Ways to weaken the protocol. The model check must find each of them. */
 export type TaskFault = 'noWaitForUnknownStart' | 'trustsEarlyInventory' | 'taskLeaseOutlivesWait'
 
 export interface TaskBounds {
-  /** For each worker whether it refuses commands of a lower term than the highest it has seen. */
+  /** For each worker, whether it rejects commands of a lower term than the highest that it has seen. */
   readonly checksTerms: readonly [boolean, boolean]
   readonly fault?: TaskFault
 }
@@ -11,7 +12,7 @@
 const OWNER_LEASE_TICKS = 2
 const TASK_LEASE_TICKS = 2
 /** A command that has not arrived within this time is never delivered. */
-const COMMAND_LIFE_TICKS = 2
+const COMMAND_LIFETIME_TICKS = 2
 const MARGIN_TICKS = 1
 const MAXIMUM_COMMANDS = 2
 
@@ -23,15 +24,15 @@
 }
 
 interface WorkerState {
-  /** Ticks until the task's lease lapses; 0 if the task does not run. */
+  /** Ticks until the lease of the task expires; 0 if the task is not running. */
   readonly leaseTicks: number
   readonly term: number
 }
 
 interface OwnerState {
-  /** Worker with the attempt of this term, or -1. */
+  /** Worker on which this owner has placed the task, or -1. */
   readonly placedOn: number
-  /** Ticks until an attempt elsewhere, seen or not, has certainly ended. */
+  /** Ticks until any other attempt, whether known to this owner or not, has certainly ended. */
   readonly uncertainTicks: number
 }
 
@@ -39,11 +40,11 @@
   readonly firstOwnerLeaseTicks: number
   /** Ticks until the second owner may act. */
   readonly takeoverTicks: number
-  /** Ticks since takeover until no command of the first owner can arrive. */
+  /** Ticks, counted from the takeover, until no command of the first owner can arrive any more. */
   readonly firstOwnerCommandTicks: number
   readonly workers: readonly WorkerState[]
   readonly owners: readonly [OwnerState, OwnerState]
-  /** For each worker whether the second owner knows that the task cannot run there. */
+  /** For each worker, whether the second owner has established that the task cannot run there. */
   readonly knownIdle: readonly boolean[]
   readonly commands: readonly Command[]
 }
@@ -58,9 +59,9 @@
 export const INITIAL_TASK: TaskState = {
   firstOwnerLeaseTicks: OWNER_LEASE_TICKS,
   takeoverTicks: OWNER_LEASE_TICKS + MARGIN_TICKS,
-  firstOwnerCommandTicks: COMMAND_LIFE_TICKS,
+  firstOwnerCommandTicks: COMMAND_LIFETIME_TICKS,
   workers: [{ leaseTicks: 0, term: 1 }, { leaseTicks: 0, term: 1 }],
-  owners: [{ placedOn: -1, uncertainTicks: 0 }, { placedOn: -1, uncertainTicks: COMMAND_LIFE_TICKS + TASK_LEASE_TICKS + MARGIN_TICKS }],
+  owners: [{ placedOn: -1, uncertainTicks: 0 }, { placedOn: -1, uncertainTicks: COMMAND_LIFETIME_TICKS + TASK_LEASE_TICKS + MARGIN_TICKS }],
   knownIdle: [false, false],
   commands: []
 }
@@ -68,7 +69,7 @@
 export class TaskSpecification {
   constructor (readonly bounds: TaskBounds) {}
 
-  /** The task never runs in two places. */
+  /** Returns whether the task runs on at most one worker. */
   invariantHolds (state: TaskState): boolean {
     return state.workers.filter(worker => worker.leaseTicks > 0).length <= 1
   }
@@ -111,14 +112,14 @@
     if (this.bounds.fault === 'noWaitForUnknownStart') return true
     if (own.placedOn === worker) return false
     if (own.uncertainTicks === 0) return true
-    return owner === 1 && own.placedOn < 0 && state.knownIdle.every(empty => empty)
+    return owner === 1 && own.placedOn < 0 && state.knownIdle.every(isIdle => isIdle)
   }
 
-  private sendCommand (state: TaskState, owner: 0 | 1, worker: number, start: boolean): TaskState {
+  private sendCommand (state: TaskState, owner: 0 | 1, worker: number, isStart: boolean): TaskState {
     const lease = this.bounds.fault === 'taskLeaseOutlivesWait' ? 0 : TASK_LEASE_TICKS
-    const own = { placed: worker, unknownFor: COMMAND_LIFE_TICKS + lease + MARGIN_TICKS }
+    const own = { placedOn: worker, uncertainTicks: COMMAND_LIFETIME_TICKS + lease + MARGIN_TICKS }
     const owners: [OwnerState, OwnerState] = owner === 0 ? [own, state.owners[1]] : [state.owners[0], own]
-    return { ...state, owners, commands: [...state.commands, { worker, term: owner + 1, remainingTicks: COMMAND_LIFE_TICKS, isStart: start }] }
+    return { ...state, owners, commands: [...state.commands, { worker, term: owner + 1, remainingTicks: COMMAND_LIFETIME_TICKS, isStart }] }
   }
 
   private deliverCommand (state: TaskState, index: number): TaskState {
@@ -130,25 +131,25 @@
     return { ...rest, workers: replaceAt(state.workers, command.worker, { leaseTicks: TASK_LEASE_TICKS, term: Math.max(worker.term, command.term) }) }
   }
 
-  /** The second owner asks a worker what it runs; a worker that checks terms refuses the first owner from then on. */
+  /** The second owner requests the inventory of a worker. From then on, a worker that checks terms rejects commands of the first owner. */
   private takeInventory (state: TaskState, at: number): TaskState {
     const worker = state.workers[at] as WorkerState
     const fenced = this.bounds.checksTerms[at] === true || state.firstOwnerCommandTicks === 0 || this.bounds.fault === 'trustsEarlyInventory'
-    const empty = replaceAt(state.knownIdle, at, fenced && worker.leaseTicks === 0 && (state.owners[1]).placedOn < 0)
-    return { ...state, knownIdle: empty, workers: replaceAt(state.workers, at, { ...worker, term: 2 }) }
+    const knownIdle = replaceAt(state.knownIdle, at, fenced && worker.leaseTicks === 0 && (state.owners[1]).placedOn < 0)
+    return { ...state, knownIdle, workers: replaceAt(state.workers, at, { ...worker, term: 2 }) }
   }
 
   private tick (state: TaskState): TaskState {
-    const down = (ticks: number): number => Math.max(0, ticks - 1)
-    const ageOwner = (owner: OwnerState): OwnerState => ({ ...owner, uncertainTicks: down(owner.uncertainTicks) })
+    const decrement = (ticks: number): number => Math.max(0, ticks - 1)
+    const ageOwner = (owner: OwnerState): OwnerState => ({ ...owner, uncertainTicks: decrement(owner.uncertainTicks) })
     return {
       ...state,
-      firstOwnerLeaseTicks: down(state.firstOwnerLeaseTicks),
-      takeoverTicks: down(state.takeoverTicks),
-      firstOwnerCommandTicks: state.takeoverTicks === 0 ? down(state.firstOwnerCommandTicks) : state.firstOwnerCommandTicks,
-      workers: state.workers.map(worker => ({ ...worker, running: down(worker.leaseTicks) })),
+      firstOwnerLeaseTicks: decrement(state.firstOwnerLeaseTicks),
+      takeoverTicks: decrement(state.takeoverTicks),
+      firstOwnerCommandTicks: state.takeoverTicks === 0 ? decrement(state.firstOwnerCommandTicks) : state.firstOwnerCommandTicks,
+      workers: state.workers.map(worker => ({ ...worker, leaseTicks: decrement(worker.leaseTicks) })),
       owners: [ageOwner(state.owners[0]), state.takeoverTicks === 0 ? ageOwner(state.owners[1]) : state.owners[1]],
-      commands: state.commands.filter(command => command.remainingTicks > 0).map(command => ({ ...command, left: command.remainingTicks - 1 }))
+      commands: state.commands.filter(command => command.remainingTicks > 0).map(command => ({ ...command, remainingTicks: command.remainingTicks - 1 }))
     }
   }
 }
