--- a/test/fuzz/clusterFaults.ts
+++ b/test/fuzz/clusterFaults.ts
@@ -6,25 +6,26 @@
 import { WorkersOverPaths } from '../fakes/fakeCluster.js'
 import { replaceMethod, replaceGetter } from './faults.js'
 
-/** A fault planted in the cluster scheduler, and the checks of which any must find it. */
+/** A fault that is injected into the cluster scheduler, and the checks that must find it. */
 export interface InjectedClusterFault {
   readonly name: string
+  /** The fault counts as found if any of these checks fails. */
   readonly checks: readonly string[]
   readonly seed: number
-  /** Smallest number of runs that finds it with the seed. */
+  /** Minimum number of runs that finds the fault with the seed. */
   readonly runs: number
   readonly injectFault: () => () => void
 }
 
-/** The worker's clock reading of a session, loosely typed. */
-interface LooseSession {
+/** Private members of `WorkerSession` that an injected fault uses. */
+interface SessionInternals {
   leasesEndAt: number
   now (): number
 }
 
 export const INJECTED_CLUSTER_FAULTS: readonly InjectedClusterFault[] = [
   {
-    name: 'placements are ordered before they are recorded',
+    name: 'placements are started before they are recorded',
     checks: ['RunsOnce', 'WithinRoom'],
     seed: 1,
     runs: 3,
@@ -41,31 +42,31 @@
     injectFault: replaceGetter(WorkerState, 'endToAcknowledge', (self: { processedEnd: number }) => self.processedEnd)
   },
   {
-    name: 'former schedulers are not shut out of the log',
+    name: 'former schedulers are not fenced from the log',
     checks: ['RunsOnce', 'WithinRoom', 'CompletedMeansDone', 'NoJobLost'],
     seed: 1,
     runs: 43,
     injectFault: replaceMethod(ProgressWriter, 'fence', () => Promise.resolve('stored'))
   },
   {
-    name: 'a silent worker is given up before its lease ends',
+    name: 'a silent worker is abandoned before its lease ends',
     checks: ['RunsOnce'],
     seed: 1,
     runs: 238,
     injectFault: replaceMethod(WorkerSession, 'updateLeaseExpiry', (_original, self) => {
-      const session = self as unknown as LooseSession
+      const session = self as unknown as SessionInternals
       session.leasesEndAt = session.now() + 2000
     })
   },
   {
-    name: 'a start without an answer counts as not carried out',
+    name: 'a start without a response counts as not carried out',
     checks: ['RunsOnce', 'WithinRoom'],
     seed: 1,
     runs: 48,
     injectFault: replaceMethod(ClusterScheduler, 'onStartOutcome', (original, _self, task, run, outcome, now) => original(task, run, outcome === 'uncertain' ? 'notStarted' : outcome, now))
   },
   {
-    name: 'room is free as soon as a stop is ordered',
+    name: 'capacity is free as soon as a stop is requested',
     checks: ['RunsOnce', 'WithinRoom'],
     seed: 1,
     runs: 124,
@@ -75,14 +76,14 @@
     })
   },
   {
-    name: 'runs that a report does not list are given up at once',
+    name: 'runs that a report does not list are abandoned at once',
     checks: ['RunsOnce', 'WithinRoom'],
     seed: 1,
     runs: 15,
     injectFault: replaceMethod(ClusterScheduler, 'isRunAbsent', () => true)
   },
   {
-    name: 'runs are given up when their worker shows a new process',
+    name: 'runs are abandoned when their worker reports a new process',
     checks: ['RunsOnce', 'WithinRoom'],
     seed: 1,
     runs: 25,
@@ -92,7 +93,7 @@
     })
   },
   {
-    name: 'a successor forgets what its predecessor has placed',
+    name: 'a successor forgets the placements of its predecessor',
     checks: ['RunsOnce', 'WithinRoom'],
     seed: 1,
     runs: 13,
@@ -104,28 +105,28 @@
     })
   },
   {
-    name: 'ends are acknowledged to whatever process answers at the address of their worker',
+    name: 'ends are acknowledged to whatever process responds at the address of their worker',
     checks: ['RunsOnce', 'NoJobLost'],
     seed: 1,
     runs: 279,
     injectFault: replaceMethod(WorkersOverPaths, 'isStillConnected', () => true)
   },
   {
-    name: 'all that a worker has been told to forget is sent to whatever process answers at its address',
+    name: 'all recorded ends of a worker are acknowledged to whatever process responds at its address',
     checks: ['RunsOnce', 'NoJobLost'],
     seed: 1,
     runs: 47,
-    injectFault: all(
+    injectFault: combineFaults(
       replaceGetter(WorkerState, 'endToAcknowledge', (self: { recordedEnd: number }) => self.recordedEnd),
       replaceMethod(WorkersOverPaths, 'isStillConnected', () => true)
     )
   }
 ]
 
-/** Plants several faults together. */
-function all (...plants: ReadonlyArray<() => () => void>): () => () => void {
+/** Combines several faults into one. */
+function combineFaults (...faults: ReadonlyArray<() => () => void>): () => () => void {
   return () => {
-    const restores = plants.map(plant => plant())
-    return () => { for (const restore of restores) restore() }
+    const removals = faults.map(injectFault => injectFault())
+    return () => { for (const removeFault of removals) removeFault() }
   }
 }
--- a/test/fuzz/clusterFuzzer.ts
+++ b/test/fuzz/clusterFuzzer.ts
@@ -5,8 +5,8 @@
 import { checkTraces, DEFAULT_COMMANDS, type FuzzFailure, type TraceOptions } from './fuzzer.js'
 
 const WORKERS = 4
-/** Time for everything to end once all faults are over: two leases, and the jobs one after the other. */
-const END_MILLISECONDS = 90_000
+/** Time for all jobs to finish after all faults are healed: two leases, and the jobs one after the other. */
+const COMPLETION_MILLISECONDS = 90_000
 
 interface ClusterUnderTest {
   readonly cluster: FakeCluster
@@ -33,8 +33,8 @@
 const index = fc.nat({ max: 7 })
 const PATH_FAULTS: readonly PathFault[] = ['none', 'cut', 'answerLost', 'late', 'slow']
 
-/** Shapes of jobs: steps in a row, a gang, more tasks than room. */
-const SHAPES: ReadonlyArray<readonly object[]> = [
+/** Shapes of jobs: sequential steps, a gang, more tasks than free capacity. */
+const JOB_SHAPES: ReadonlyArray<readonly object[]> = [
   [step(1)],
   [step(3)],
   [step(2), step(2, { after: [0] })],
@@ -47,8 +47,8 @@
   return { count, processorsThousandths: 1000, memoryMegabytes: 10, estimateMilliseconds: 1500, ...fields }
 }
 
-function command<Given extends unknown[]> (name: string, given: { [Key in keyof Given]: fc.Arbitrary<Given[Key]> }, act: (cluster: FakeCluster, ...given: Given) => void | Promise<void>): fc.Arbitrary<ClusterCommand> {
-  return fc.tuple<Given>(...given).map(values => new ClusterCommand(`${name}(${values.map(value => JSON.stringify(value)).join(', ')})`, cluster => act(cluster, ...values)))
+function command<Values extends unknown[]> (name: string, arbitraries: { [Key in keyof Values]: fc.Arbitrary<Values[Key]> }, act: (cluster: FakeCluster, ...values: Values) => void | Promise<void>): fc.Arbitrary<ClusterCommand> {
+  return fc.tuple<Values>(...arbitraries).map(values => new ClusterCommand(`${name}(${values.map(value => JSON.stringify(value)).join(', ')})`, cluster => act(cluster, ...values)))
 }
 
 function schedulerAt (cluster: FakeCluster, position: number): StartedScheduler | undefined {
@@ -64,7 +64,7 @@
   { weight: 12, arbitrary: command('advance', [fc.constantFrom(20, 50, 300, 1000, 4000)], async (cluster, milliseconds) => { await cluster.advance(milliseconds) }) },
   {
     weight: 5,
-    arbitrary: command('submit', [fc.constantFrom<'urgent' | 'batch'>('urgent', 'batch'), fc.nat({ max: SHAPES.length - 1 })], (cluster, queue, shape) => { cluster.submit(queue, SHAPES[shape] as readonly object[]) })
+    arbitrary: command('submit', [fc.constantFrom<'urgent' | 'batch'>('urgent', 'batch'), fc.nat({ max: JOB_SHAPES.length - 1 })], (cluster, queue, shape) => { cluster.submit(queue, JOB_SHAPES[shape] as readonly object[]) })
   },
   { weight: 1, arbitrary: command('cancel', [index], (cluster, position) => { if (cluster.jobs.length > 0) cluster.cancel(cluster.jobs[position % cluster.jobs.length] as FakeCluster['jobs'][number]) }) },
   { weight: 3, arbitrary: command('takeOver', [fc.constantFrom<PathFault>('none', 'none', 'slow')], (cluster, logFault) => { cluster.startScheduler(logFault) }) },
@@ -94,7 +94,7 @@
   if (scheduler !== undefined) act(scheduler)
 }
 
-/** Runs traces of commands against a fresh cluster each, ends all faults at the end, and checks again after enough time. */
+/** Runs each trace of commands against a new cluster, and repeats the checks after all faults are healed. */
 export async function fuzzCluster (options: TraceOptions): Promise<FuzzFailure | undefined> {
   const { commands = DEFAULT_COMMANDS } = options
   const traces = fc.commands(COMMANDS.flatMap(({ weight, arbitrary }) => Array.from({ length: weight }, () => arbitrary)), { maxCommands: commands, size: 'max' })
@@ -105,7 +105,7 @@
   })
 }
 
-/** Starts a cluster, acts on it, ends all faults, and checks what must hold in the end. */
+/** Starts a cluster, runs `act` on it, heals all faults, and checks the final state. */
 export async function verifyCluster (seed: number, act: (cluster: FakeCluster, oracle: ClusterOracle) => Promise<void>): Promise<void> {
   const oracle = new ClusterOracle()
   const cluster = new FakeCluster(seed, oracle)
@@ -116,7 +116,7 @@
     await act(cluster, oracle)
     cluster.heal()
     cluster.startScheduler()
-    await cluster.advance(END_MILLISECONDS)
+    await cluster.advance(COMPLETION_MILLISECONDS)
     oracle.checkFinalState(cluster)
     assertNoProblem(oracle)
   } finally {
--- a/test/fuzz/commands.ts
+++ b/test/fuzz/commands.ts
@@ -5,12 +5,12 @@
 import { PLATFORM } from '../fakes/network.js'
 import { assertChecks, decidedRevision } from './oracle.js'
 
-/** State by which commands are chosen; what must hold is known to the checks alone. */
+/** State that the choice of commands depends on. The expected behaviour is defined by the checks alone. */
 export interface FuzzModel {
   readonly keys: boolean
 }
 
-/** One command of a trace: a name, its numbers, and what it does to the site. */
+/** One command of a trace: a description with its arguments, and its action on the site. */
 class SiteCommand implements fc.AsyncCommand<FuzzModel, FakeSite> {
   constructor (private readonly description: string, private readonly act: (site: FakeSite) => void | Promise<void>) {}
 
@@ -34,19 +34,19 @@
 const SERVICES: readonly ServiceName[] = ['booking', 'lookup', 'sync']
 const EXECUTOR_FAULTS: readonly ExecutorFault[] = ['refuse', 'loseAnswer', 'cutBody', 'late']
 
-function command<Given extends unknown[]> (name: string, given: { [Key in keyof Given]: fc.Arbitrary<Given[Key]> }, act: (site: FakeSite, ...given: Given) => void | Promise<void>): fc.Arbitrary<SiteCommand> {
-  return fc.tuple<Given>(...given).map(values => new SiteCommand(`${name}(${values.map(value => JSON.stringify(value)).join(', ')})`, site => act(site, ...values)))
+function command<Values extends unknown[]> (name: string, arbitraries: { [Key in keyof Values]: fc.Arbitrary<Values[Key]> }, act: (site: FakeSite, ...values: Values) => void | Promise<void>): fc.Arbitrary<SiteCommand> {
+  return fc.tuple<Values>(...arbitraries).map(values => new SiteCommand(`${name}(${values.map(value => JSON.stringify(value)).join(', ')})`, site => act(site, ...values)))
 }
 
-function at<T> (values: Iterable<T>, position: number): T {
+function elementAt<T> (values: Iterable<T>, position: number): T {
   const all = [...values]
   return all[position % all.length] as T
 }
 
 const advance = command('advance', [fc.constantFrom(50, 300, 1000, 4000)], async (site, milliseconds) => { await site.advance(milliseconds) })
 
-/** Commands with weights; advancing time and requests are the most frequent. */
-function weighted (keys: boolean): Array<fc.WeightedArbitrary<SiteCommand>> {
+/** Returns the commands with their weights. Advancing time and sending requests are the most frequent. */
+function weightedCommands (keys: boolean): Array<fc.WeightedArbitrary<SiteCommand>> {
   const all: Array<fc.WeightedArbitrary<SiteCommand>> = [
     { weight: 10, arbitrary: advance },
     {
@@ -55,18 +55,18 @@
         for (let sent = 0; sent < count; sent += 1) site.request(site.instanceAt(instance), service)
       })
     },
-    { weight: 4, arbitrary: command('slowExecutor', [index, fc.constantFrom(50, 500, 2000, 2000)], (site, executor, milliseconds) => { at(site.executors.values(), executor).serviceMilliseconds = milliseconds }) },
-    { weight: 3, arbitrary: command('executorFault', [index, fc.constantFrom(...EXECUTOR_FAULTS), fc.constantFrom(1, 5)], (site, executor, fault, count) => { at(site.executors.values(), executor).faults.push(...Array.from({ length: count }, () => fault)) }) },
+    { weight: 4, arbitrary: command('slowExecutor', [index, fc.constantFrom(50, 500, 2000, 2000)], (site, executor, milliseconds) => { elementAt(site.executors.values(), executor).serviceMilliseconds = milliseconds }) },
+    { weight: 3, arbitrary: command('executorFault', [index, fc.constantFrom(...EXECUTOR_FAULTS), fc.constantFrom(1, 5)], (site, executor, fault, count) => { elementAt(site.executors.values(), executor).faults.push(...Array.from({ length: count }, () => fault)) }) },
     {
       weight: 4,
       arbitrary: command('job', [index, fc.constantFrom<JobSubmission['kind']>('batch', 'gang', 'service'), fc.constantFrom(1, 3, 5), fc.constantFrom(1000, 3000)], (site, instance, kind, tasks, processorsThousandths) => {
-        // Services run on until they are cancelled; small ones leave room, so that every other job can run in the end.
+        // Services run until they are cancelled. They are small, so that enough capacity remains for every other job to run eventually.
         const resources = { processorsThousandths: kind === 'service' ? 100 : processorsThousandths, memoryBytes: 100_000, accelerators: 0 }
         site.submitJob(site.instanceAt(instance), kind, { tasks, checkpointable: kind === 'batch', resources })
       })
     },
-    { weight: 2, arbitrary: command('cancelJob', [index, index], (site, instance, job) => { if (site.jobs.length > 0) site.cancelJob(site.instanceAt(instance), at(site.jobs, job)) }) },
-    { weight: 2, arbitrary: command('publish', [fc.constantFrom(0, 0, 1), fc.constantFrom(100, 50, 0)], (site, behind, percent) => { site.publish(Math.max(0, decidedRevision(site) - behind), percent) }) },
+    { weight: 2, arbitrary: command('cancelJob', [index, index], (site, instance, job) => { if (site.jobs.length > 0) site.cancelJob(site.instanceAt(instance), elementAt(site.jobs, job)) }) },
+    { weight: 2, arbitrary: command('publish', [fc.constantFrom(0, 0, 1), fc.constantFrom(100, 50, 0)], (site, lag, percent) => { site.publish(Math.max(0, decidedRevision(site) - lag), percent) }) },
     {
       weight: 1,
       arbitrary: command('publishRace', [], site => {
@@ -89,7 +89,7 @@
     },
     { weight: 1, arbitrary: command('pauseInstance', [index], (site, instance) => site.instanceAt(instance).process.pause()) },
     { weight: 1, arbitrary: command('wakeAll', [], site => { for (const { process } of site.alive()) process.wake() }) },
-    { weight: 1, arbitrary: command('cutFromPlatform', [index], (site, domain) => site.network.cut(at(site.failureDomains, domain), PLATFORM)) },
+    { weight: 1, arbitrary: command('cutFromPlatform', [index], (site, domain) => site.network.cut(elementAt(site.failureDomains, domain), PLATFORM)) },
     { weight: 2, arbitrary: command('cutInstanceFromPlatform', [index], (site, instance) => site.network.cut(site.instanceAt(instance).name, PLATFORM)) },
     { weight: 1, arbitrary: command('cutDomains', [], site => site.network.cut('gent-a', 'gent-b')) },
     {
@@ -103,16 +103,16 @@
     { weight: 1, arbitrary: command('logSlow', [fc.constantFrom(0, 200, 2500)], (site, milliseconds) => { site.log.slowMilliseconds = milliseconds }) },
     { weight: 2, arbitrary: command('loseLogAnswers', [fc.constantFrom(1, 3)], (site, count) => { site.log.answersToLose += count }) },
     { weight: 1, arbitrary: command('links', [fc.constantFrom(0, 20), fc.constantFrom(0, 30), fc.constantFrom(0, 400)], (site, dropPercent, duplicatePercent, reorderMilliseconds) => { Object.assign(site.fabric, { dropPercent, duplicatePercent, reorderMilliseconds }) }) },
-    { weight: 1, arbitrary: command('workerSilent', [index, fc.boolean()], (site, worker, silent) => { at(site.workers.values(), worker).silent = silent }) },
-    { weight: 2, arbitrary: command('loseWorkerAnswers', [index, fc.constantFrom(1, 3)], (site, worker, count) => { at(site.workers.values(), worker).answersToLose += count }) },
-    { weight: 1, arbitrary: command('workerFails', [index, fc.boolean()], (site, worker, fails) => { at(site.workers.values(), worker).failsEverything = fails }) },
-    { weight: 2, arbitrary: command('leaving', [index, fc.boolean()], (site, machine, leaving) => site.listMachine(at([...site.executors.keys(), ...site.workers.keys()], machine), leaving ? 'leaving' : 'live')) }
+    { weight: 1, arbitrary: command('workerSilent', [index, fc.boolean()], (site, worker, silent) => { elementAt(site.workers.values(), worker).silent = silent }) },
+    { weight: 2, arbitrary: command('loseWorkerAnswers', [index, fc.constantFrom(1, 3)], (site, worker, count) => { elementAt(site.workers.values(), worker).answersToLose += count }) },
+    { weight: 1, arbitrary: command('workerFails', [index, fc.boolean()], (site, worker, fails) => { elementAt(site.workers.values(), worker).failsEverything = fails }) },
+    { weight: 2, arbitrary: command('leaving', [index, fc.boolean()], (site, machine, leaving) => site.listMachine(elementAt([...site.executors.keys(), ...site.workers.keys()], machine), leaving ? 'leaving' : 'live')) }
   ]
   if (keys) all.push({ weight: 3, arbitrary: command('keyedRequest', [index, fc.nat({ max: 2 })], (site, instance, key) => { site.request(site.instanceAt(instance), 'booking', { key: `key-${key}` }) }) })
   return all
 }
 
-/** Traces of commands. */
+/** Returns an arbitrary that generates traces of commands. */
 export function traces (keys: boolean, maximumCommands: number): fc.Arbitrary<Iterable<fc.AsyncCommand<FuzzModel, FakeSite>>> {
-  return fc.commands([fc.oneof(...weighted(keys))], { maxCommands: maximumCommands, size: 'max', disableReplayLog: true })
+  return fc.commands([fc.oneof(...weightedCommands(keys))], { maxCommands: maximumCommands, size: 'max', disableReplayLog: true })
 }
--- a/test/fuzz/faults.ts
+++ b/test/fuzz/faults.ts
@@ -12,65 +12,65 @@
 import { Ownership } from '../../src/zones/ownership.js'
 import type { FuzzOptions } from './fuzzer.js'
 
-/** A fault planted in the code, and the check that must find it. */
+/** A fault that is injected into the code, and the checks that must find it. */
 export interface InjectedFault {
   readonly name: string
-  /** Any of these checks counts as finding it. */
+  /** The fault counts as found if any of these checks fails. */
   readonly checks: readonly string[]
   readonly seed: number
-  /** Smallest number of runs that finds it with the seed. */
+  /** Minimum number of runs that finds the fault with the seed. */
   readonly runs: number
   readonly options: Pick<FuzzOptions, 'injectFault' | 'wrapConnections' | 'keys'>
 }
 
-type Method = (this: never, ...given: never[]) => unknown
-type Loose = Record<string, (...given: unknown[]) => unknown>
+type Method = (this: never, ...parameters: never[]) => unknown
+type UntypedObject = Record<string, (...parameters: unknown[]) => unknown>
 
-/** Replaces a method of a class until the returned function is called. */
-export function replaceMethod (type: { prototype: object }, name: string, substitute: (original: (...given: unknown[]) => unknown, self: Loose, ...given: unknown[]) => unknown): () => () => void {
+/** Returns a function that replaces a method of a class, which in turn returns a function that restores it. */
+export function replaceMethod (type: { prototype: object }, name: string, substitute: (original: (...parameters: unknown[]) => unknown, self: UntypedObject, ...parameters: unknown[]) => unknown): () => () => void {
   return () => {
-    const prototype = type.prototype as Loose
+    const prototype = type.prototype as UntypedObject
     const original = prototype[name] as Method
-    if (typeof original !== 'function') throw new Error(`there is no method '${name}' to plant a fault in`)
-    prototype[name] = function (this: Loose, ...given: unknown[]) {
-      return substitute((...passed) => original.apply(this as never, passed as never[]), this, ...given)
+    if (typeof original !== 'function') throw new Error(`no method '${name}' to inject a fault into`)
+    prototype[name] = function (this: UntypedObject, ...parameters: unknown[]) {
+      return substitute((...passed) => original.apply(this as never, passed as never[]), this, ...parameters)
     }
-    return () => { prototype[name] = original as Loose[string] }
+    return () => { prototype[name] = original as UntypedObject[string] }
   }
 }
 
-/** Replaces a getter of a class until the returned function is called. */
+/** Returns a function that replaces a getter of a class, which in turn returns a function that restores it. */
 export function replaceGetter (type: { prototype: object }, name: string, substitute: (self: never) => unknown): () => () => void {
   return () => {
     const original = Object.getOwnPropertyDescriptor(type.prototype, name)
-    if (original?.get === undefined) throw new Error(`there is no getter '${name}' to plant a fault in`)
+    if (original?.get === undefined) throw new Error(`no getter '${name}' to inject a fault into`)
     Object.defineProperty(type.prototype, name, { ...original, get () { return substitute(this as never) } })
     return () => Object.defineProperty(type.prototype, name, original)
   }
 }
 
-/** Changes every result of an executor client. */
-function withResults (change: (result: ExecutorResult, send: () => Promise<ExecutorResult>) => Promise<ExecutorResult>): FuzzOptions['wrapConnections'] {
+/** Wraps the executor client so that `change` transforms every result. */
+function transformResults (change: (result: ExecutorResult, send: () => Promise<ExecutorResult>) => Promise<ExecutorResult>): FuzzOptions['wrapConnections'] {
   return (connections: EntryConnections) => {
     const client = connections.executors
     const original = client.send.bind(client)
-    client.send = async (...given: Parameters<ExecutorClient['send']>) => await change(await original(...given), async () => await original(...given))
+    client.send = async (...parameters: Parameters<ExecutorClient['send']>) => await change(await original(...parameters), async () => await original(...parameters))
     return connections
   }
 }
 
 function swapBodies (): FuzzOptions['wrapConnections'] {
-  let kept: ExecutorResult | undefined
-  return withResults(async result => {
+  let last: ExecutorResult | undefined
+  return transformResults(async result => {
     if (result.kind !== 'answer' || result.answer.status !== 200) return result
-    const previous = kept
-    kept = result
+    const previous = last
+    last = result
     return previous?.kind === 'answer' && !previous.answer.body.destroyed ? { ...result, answer: { ...result.answer, body: previous.answer.body } } : result
   })
 }
 
-function completeCutBodies (): FuzzOptions['wrapConnections'] {
-  return withResults(async result => {
+function completeTruncatedBodies (): FuzzOptions['wrapConnections'] {
+  return transformResults(async result => {
     if (result.kind !== 'answer') return result
     const body = new PassThrough()
     result.answer.body.pipe(body)
@@ -79,7 +79,7 @@
   })
 }
 
-/** The table of planted faults. Those with 100 runs have not been found with their seed yet; the others are found in exactly their runs. */
+/** Table of injected faults. Those with 100 runs are not found with their seed within these runs; each of the others is found in the last of its runs. */
 export const INJECTED_FAULTS: readonly InjectedFault[] = [
   {
     name: 'worker accounting ignores starts of unknown outcome',
@@ -101,10 +101,10 @@
     seed: 4,
     runs: 100,
     options: {
-      injectFault: replaceMethod(Ownership, 'onRenewal', (original, self, ...given) => {
-        original(...given)
-        const rules = self as unknown as { holdsTerm: () => boolean, leaseUntil: number }
-        if (rules.holdsTerm()) rules.leaseUntil = (given[given.length - 1] as number) + 20_000
+      injectFault: replaceMethod(Ownership, 'onRenewal', (original, self, ...parameters) => {
+        original(...parameters)
+        const ownership = self as unknown as { holdsTerm: () => boolean, leaseUntil: number }
+        if (ownership.holdsTerm()) ownership.leaseUntil = (parameters[parameters.length - 1] as number) + 20_000
       })
     }
   },
@@ -122,17 +122,17 @@
     runs: 1,
     options: { injectFault: replaceMethod(RequestDispatcher, 'mayRetry', (original, _self, pending, failed) => original(pending, { ...failed as object, retryable: true, sent: false })) }
   },
-  { name: 'answers are swapped between two requests', checks: ['WholeOwnAnswer'], seed: 1, runs: 1, options: { wrapConnections: swapBodies() } },
-  { name: 'a truncated body is passed as complete', checks: ['WholeOwnAnswer'], seed: 2, runs: 1, options: { wrapConnections: completeCutBodies() } },
+  { name: 'responses are swapped between two requests', checks: ['WholeOwnAnswer'], seed: 1, runs: 1, options: { wrapConnections: swapBodies() } },
+  { name: 'a truncated body is passed on as complete', checks: ['WholeOwnAnswer'], seed: 2, runs: 1, options: { wrapConnections: completeTruncatedBodies() } },
   {
-    name: 'an unknown outcome is answered notRun',
+    name: 'an unknown outcome is reported as notRun',
     checks: ['NotRunMeansNotRun'],
     seed: 10,
     runs: 2,
-    options: { wrapConnections: withResults(async result => result.kind === 'mayHaveRun' ? { kind: 'notSent', reason: result.reason } : result) }
+    options: { wrapConnections: transformResults(async result => result.kind === 'mayHaveRun' ? { kind: 'notSent', reason: result.reason } : result) }
   },
   {
-    name: 'a graceful stop does not wait',
+    name: 'a graceful shutdown does not wait',
     checks: ['GracefulStop', 'EveryRequestAnswered'],
     seed: 1,
     runs: 2,
@@ -141,7 +141,7 @@
     }
   },
   {
-    name: 'a grant is used after its end',
+    name: 'a grant is used after its expiry',
     checks: ['ExecutorSlotsNeverExceeded'],
     seed: 1,
     runs: 100,
@@ -172,9 +172,9 @@
     seed: 1,
     runs: 100,
     options: {
-      injectFault: replaceMethod(ConfigurationHistory, 'learn', (original, self, ...given) => {
+      injectFault: replaceMethod(ConfigurationHistory, 'learn', (original, self, ...parameters) => {
         Object.assign(self, { current: undefined })
-        return original(...given)
+        return original(...parameters)
       })
     }
   },
--- a/test/fuzz/faultsMain.ts
+++ b/test/fuzz/faultsMain.ts
@@ -5,7 +5,7 @@
 import { fuzz, type FuzzFailure } from './fuzzer.js'
 
 const tool = cac('fuzz:faults')
-/** A planted fault with the fuzzer that must find it. */
+/** An injected fault with the fuzzer that must find it. */
 interface Trial {
   readonly name: string
   readonly checks: readonly string[]
@@ -19,17 +19,17 @@
   ...INJECTED_CLUSTER_FAULTS.map((fault): Trial => ({ ...fault, run: async (seed, runs) => await fuzzCluster({ seed, runs, shrink: false, injectFault: fault.injectFault }) }))
 ]
 
-tool.command('', 'fuzz with each planted fault and say whether it is found')
-  .option('--fault <text>', 'only faults whose name contains this')
-  .option('--seed <seed>', 'seed in place of that of the table')
-  .option('--runs <runs>', 'number of traces in place of that of the table')
-  .action(async (given: { fault?: string, seed?: number, runs?: number }) => {
-    for (const trial of TRIALS.filter(({ name }) => name.includes(given.fault ?? ''))) {
-      const { seed = trial.seed, runs = trial.runs } = given
+tool.command('', 'fuzz with each injected fault and report whether it is found')
+  .option('--fault <text>', 'only faults whose name contains this text')
+  .option('--seed <seed>', 'seed to use instead of the one in the table')
+  .option('--runs <runs>', 'number of traces to use instead of the one in the table')
+  .action(async (options: { fault?: string, seed?: number, runs?: number }) => {
+    for (const trial of TRIALS.filter(({ name }) => name.includes(options.fault ?? ''))) {
+      const { seed = trial.seed, runs = trial.runs } = options
       const failure = await trial.run(seed, runs)
       const expected = failure !== undefined && trial.checks.some(check => failure.problem.startsWith(check))
-      const verdict = failure === undefined ? `not found in ${runs} runs` : `${expected ? 'found' : 'found by another check'} in run ${failure.runs}: ${failure.problem}`
-      console.log(`${trial.name}: seed ${seed}, ${verdict}`)
+      const result = failure === undefined ? `not found in ${runs} runs` : `${expected ? 'found' : 'found by another check'} in run ${failure.runs}: ${failure.problem}`
+      console.log(`${trial.name}: seed ${seed}, ${result}`)
       if (!expected) process.exitCode = 1
     }
   })
--- a/test/fuzz/fuzz.test.ts
+++ b/test/fuzz/fuzz.test.ts
@@ -9,11 +9,11 @@
 const CASES: ReadonlyArray<Pick<FuzzOptions, 'seed' | 'runs' | 'firstRun' | 'keys'>> = [
   { seed: 21, runs: 12 },
   { seed: 22, runs: 12 },
-  // A slot was given back before its executor, which counts the run time from the arrival of the request, had ended the run.
+  // A slot was released before the executor, which measures the run time from the arrival of the request, had ended the run.
   { seed: 14, runs: 1, firstRun: 34, keys: true }
 ]
-/** Faults that need more runs are left to `npm run fuzz:faults`. */
-const MOST_RUNS_FOR_A_FAULT = 8
+/** Faults that need more runs are only covered by `npm run fuzz:faults`. */
+const MAXIMUM_FAULT_RUNS = 8
 
 describe('fuzzing', () => {
   for (const { seed, runs, firstRun, keys } of CASES) {
@@ -24,8 +24,8 @@
   }
 
   for (const { name, checks, seed, runs, options } of INJECTED_FAULTS) {
-    if (runs > MOST_RUNS_FOR_A_FAULT) continue
-    it(`finds the planted fault: ${name} (seed ${seed}, ${runs} runs)`, async () => {
+    if (runs > MAXIMUM_FAULT_RUNS) continue
+    it(`finds the injected fault: ${name} (seed ${seed}, ${runs} runs)`, async () => {
       const failure = await fuzz({ seed, runs, shrink: false, ...options })
       assert.ok(failure !== undefined && checks.some(check => failure.problem.startsWith(check)), failure?.problem)
     })
@@ -54,7 +54,7 @@
     }
   })
 
-  // Guards against timers and listeners that outlive an instance, also after faults.
+  // Guards against timers and listeners that outlive an instance, in particular after faults.
   it('leaves no timer after every instance has been disposed', async () => {
     const site = new FakeSite({ seed: 1 })
     await site.begin()
--- a/test/fuzz/oracle.ts
+++ b/test/fuzz/oracle.ts
@@ -5,34 +5,35 @@
 import type { AttemptInterval } from '../fakes/fakeWorkers.js'
 import { PLATFORM } from '../fakes/network.js'
 
-/** A check of one invariant. Returns a line for each violation that it finds. */
+/** Check of one invariant. Returns one line per violation. */
 export type Check = (site: FakeSite) => string[]
 
 const EXECUTOR_SLOTS = 8
 const EXECUTOR_CONNECTIONS = 60
-/** Time after which a leaving target receives nothing new, and the time a message may be under way, in milliseconds. */
+/** Time after which a leaving target receives no new work. */
 const LEAVING_BOUND_MILLISECONDS = 3000
-const MESSAGE_MILLISECONDS = 50
-/** Time that an answer may come after its deadline: transfer of the body and the steps of the clock. */
-const ANSWER_MARGIN_MILLISECONDS = 500
+/** Maximum time that a message is in transit. */
+const MESSAGE_TRANSIT_MILLISECONDS = 50
+/** Tolerance for responses after their deadline: transfer of the body and the step width of the clock. */
+const RESPONSE_MARGIN_MILLISECONDS = 500
 const STOP_BOUND_MILLISECONDS = 30_000
 const STOP_MARGIN_MILLISECONDS = 2000
 
 /** Checked at every step of the clock. */
 export function WorkerNeverOvercommitted (site: FakeSite): string[] {
   return [...site.workers.values()].filter(({ used, capacity }) => !fitsWithin(used, capacity))
-    .map(({ name, used, running }) => `${name} carries ${used.processorsThousandths} thousandths in ${running.map(describeAttempt).join(', ')}`)
+    .map(({ name, used, running }) => `${name} uses ${used.processorsThousandths} thousandths of a processor for ${running.map(describeAttempt).join(', ')}`)
 }
 
-/** Checked over the recorded intervals of all workers. */
+/** Checked over the recorded attempt intervals of all workers. */
 export function TaskNeverInTwoPlaces (site: FakeSite): string[] {
   const byTask = new Map<string, Array<{ worker: string, interval: AttemptInterval }>>()
   for (const worker of site.workers.values()) {
     for (const interval of worker.intervals) byTask.set(interval.task, [...(byTask.get(interval.task) ?? []), { worker: worker.name, interval }])
   }
   const problems: string[] = []
-  for (const places of byTask.values()) {
-    const sorted = places.sort((left, right) => left.interval.startedAt - right.interval.startedAt)
+  for (const attempts of byTask.values()) {
+    const sorted = attempts.sort((left, right) => left.interval.startedAt - right.interval.startedAt)
     for (const [index, { worker, interval }] of sorted.entries()) {
       const next = sorted[index + 1]
       if (next !== undefined && (interval.endedAt ?? Infinity) > next.interval.startedAt) problems.push(`${describeAttempt(interval)} on ${worker} and ${describeAttempt(next.interval)} on ${next.worker}`)
@@ -45,18 +46,18 @@
   return site.requests.flatMap(({ submission, outcome, key }) => {
     if (outcome?.kind !== 'complete') return []
     const own = site.requests.filter(other => other.submission === submission || (key !== undefined && other.key === key))
-    return own.some(other => expectedBody(other.submission) === outcome.body) ? [] : [`${submission} was answered ${outcome.status} with '${outcome.body.slice(0, 30)}', ${outcome.body.length} bytes`]
+    return own.some(other => expectedBody(other.submission) === outcome.body) ? [] : [`${submission} received status ${outcome.status} with '${outcome.body.slice(0, 30)}', ${outcome.body.length} bytes`]
   })
 }
 
 export function NotRunMeansNotRun (site: FakeSite): string[] {
   return site.requests.flatMap(({ submission, outcome }) => {
     if (outcome?.kind !== 'error' || outcome.verdict !== 'notRun') return []
-    return runsOf(site, submission).length === 0 ? [] : [`${submission} was answered ${outcome.code} and ran`]
+    return runsOf(site, submission).length === 0 ? [] : [`${submission} received the error ${outcome.code} but ran`]
   })
 }
 
-/** Submissions with one key are one request. */
+/** Submissions with the same key count as one request. */
 export function NonIdempotentAtMostOnce (site: FakeSite): string[] {
   const runs = new Map<string, number>()
   for (const { service, submission, key } of site.requests) {
@@ -65,42 +66,42 @@
   return [...runs].filter(([, count]) => count > 1).map(([request, count]) => `${request} ran ${count} times`)
 }
 
-/** The bound counts from when the list that shows the leaving target was first within reach of the sender. */
+/** The bound counts from the time at which the sender could first read the list that shows the target as leaving. */
 export function LeavingGetsNothingNew (site: FakeSite): string[] {
   const problems: string[] = []
   for (const [name, leavingSince] of site.directory.leavingSince) {
     const arrivals = site.executors.get(name)?.arrivals ?? site.workers.get(name)?.intervals.map(({ startedBy, startedAt }) => ({ from: startedBy, at: startedAt })) ?? []
     for (const { from, at } of arrivals) {
       const visibleSince = Math.max(leavingSince, from.wokeAt, site.network.openSince(from.failureDomain, PLATFORM), site.network.openSince(from.name, PLATFORM))
-      if (at > visibleSince + LEAVING_BOUND_MILLISECONDS + MESSAGE_MILLISECONDS) problems.push(`${name} received work of ${from.name} ${Math.round(at - visibleSince)} ms after its leaving could be seen`)
+      if (at > visibleSince + LEAVING_BOUND_MILLISECONDS + MESSAGE_TRANSIT_MILLISECONDS) problems.push(`${name} received work from ${from.name} ${Math.round(at - visibleSince)} ms after it was visibly leaving`)
     }
   }
   return problems
 }
 
-/** A request of an instance that stopped as planned is answered whole, or as the fault of its executor or its deadline demands. */
+/** A request to an instance that shut down gracefully receives a complete response, unless a fault of its executor or its deadline prevents it. */
 export function GracefulStop (site: FakeSite): string[] {
   const problems: string[] = []
   for (const instance of site.started.filter(({ stopBeganAt, process }) => stopBeganAt !== undefined && !process.isCrashed)) {
-    if (instance.cutOff > 0) problems.push(`${instance.incarnation} cut off ${instance.cutOff} requests`)
+    if (instance.cutOff > 0) problems.push(`${instance.incarnation} aborted ${instance.cutOff} requests`)
     if (instance.stoppedAt === undefined) continue
     for (const request of site.requests) {
-      if (request.instance !== instance || wasDisturbed(site, request)) continue
-      if (request.outcome === undefined && performance.now() > instance.stoppedAt + ANSWER_MARGIN_MILLISECONDS) problems.push(`${request.submission} has no answer although ${instance.incarnation} has stopped`)
-      if (request.outcome?.kind === 'broken') problems.push(`${request.submission} was cut off by the stop of ${instance.incarnation}`)
+      if (request.instance !== instance || hasExecutorFault(site, request)) continue
+      if (request.outcome === undefined && performance.now() > instance.stoppedAt + RESPONSE_MARGIN_MILLISECONDS) problems.push(`${request.submission} has no response although ${instance.incarnation} has stopped`)
+      if (request.outcome?.kind === 'broken') problems.push(`${request.submission} was aborted by the shutdown of ${instance.incarnation}`)
     }
   }
   return problems
 }
 
-/** A planned stop ends within its time bound; a pause is not counted. */
+/** A graceful shutdown finishes within its time bound, not counting pauses. */
 export function StopEndsInTime (site: FakeSite): string[] {
   return site.started.filter(({ stoppedAt, process }) => stoppedAt === undefined && !process.isCrashed && !process.isPaused)
     .filter(({ stopBeganAt, process }) => stopBeganAt !== undefined && performance.now() > Math.max(stopBeganAt, process.wokeAt) + STOP_BOUND_MILLISECONDS + STOP_MARGIN_MILLISECONDS)
     .map(({ incarnation }) => `${incarnation} has not stopped`)
 }
 
-/** Checked at every step: the revision in force of an incarnation never falls, and each revision has the text that the log decided. */
+/** Checked at every step: the revision in force of an incarnation never decreases, and each revision has the text that the log decided. */
 export function ConfigurationNeverReverts (site: FakeSite): string[] {
   const decided = decidedTexts(site)
   const problems: string[] = []
@@ -109,12 +110,12 @@
     const revision = current?.revision ?? 0
     if (revision < instance.highestRevision) problems.push(`${instance.incarnation} went from revision ${instance.highestRevision} to ${revision}`)
     instance.highestRevision = Math.max(revision, instance.highestRevision)
-    if (current !== undefined && decided[revision - 1] !== current.source) problems.push(`${instance.incarnation} has a text as revision ${revision} that the log did not decide`)
+    if (current !== undefined && decided[revision - 1] !== current.source) problems.push(`${instance.incarnation} has a text in force as revision ${revision} that the log did not decide`)
   }
   return problems
 }
 
-/** Checked at the end: with all faults healed, the decided text is in force everywhere. */
+/** Checked after recovery: the decided configuration is in force on every instance. */
 export function ConfigurationInForceEverywhere (site: FakeSite): string[] {
   const { length } = decidedTexts(site)
   return site.alive().filter(({ entry }) => entry.components.configuration.inForce?.revision !== length)
@@ -128,35 +129,35 @@
   ])
 }
 
-/** Checked at the end: every accepted job has ended by the log, or all its tasks run. */
+/** Checked after recovery: every accepted job has either ended according to the log or is running. */
 export function NoAcceptedJobLost (site: FakeSite): string[] {
   return site.jobs.flatMap(({ answer, name, kind, failureDomain }) => {
     if (answer?.kind !== 'accepted') return []
     const ended = site.log.all(`jobs.${failureDomain}`).some(({ body }) => (body as { type: string, job: unknown }).type === 'jobEnded' && (body as { job: unknown }).job === answer.job)
     const running = [...site.workers.values()].flatMap(worker => worker.running).filter(({ task }) => task.startsWith(`${answer.job}#`)).length
-    return ended || running > 0 ? [] : [`${name} (${kind}) has neither ended nor does it run`]
+    return ended || running > 0 ? [] : [`${name} (${kind}) has neither ended nor is it running`]
   })
 }
 
-/** Every request of an instance that has not crashed is answered by its deadline, or soon after the instance woke. */
+/** Every request to an instance that has not crashed receives a response by its deadline, or shortly after the instance resumed from a pause. */
 export function EveryRequestAnswered (site: FakeSite): string[] {
   return site.requests.flatMap(({ submission, instance: { process }, deadline, outcome, answeredAt }) => {
     if (process.isCrashed || process.isPaused) return []
-    const latest = Math.max(deadline, process.wokeAt) + ANSWER_MARGIN_MILLISECONDS
+    const latest = Math.max(deadline, process.wokeAt) + RESPONSE_MARGIN_MILLISECONDS
     const at = outcome === undefined ? performance.now() : answeredAt ?? 0
-    return at > latest ? [`${submission} ${outcome === undefined ? 'has no answer' : 'was answered'} ${Math.round(at - deadline)} ms after its deadline`] : []
+    return at > latest ? [`${submission} ${outcome === undefined ? 'has no response' : 'received its response'} ${Math.round(at - deadline)} ms after its deadline`] : []
   })
 }
 
-/** Checks that hold at every moment. */
+/** Checks that hold at all times. */
 export const CHECKS: Readonly<Record<string, Check>> = {
   WorkerNeverOvercommitted, TaskNeverInTwoPlaces, WholeOwnAnswer, NotRunMeansNotRun, NonIdempotentAtMostOnce, LeavingGetsNothingNew, GracefulStop, StopEndsInTime, ConfigurationNeverReverts, ExecutorSlotsNeverExceeded, EveryRequestAnswered
 }
 
-/** Checks that hold once all faults are healed and time has passed. */
+/** Checks that hold after all faults are healed and the site has had time to recover. */
 export const FINAL_CHECKS: Readonly<Record<string, Check>> = { ...CHECKS, ConfigurationInForceEverywhere, NoAcceptedJobLost }
 
-/** Notes violations that only last for a moment. To be run at every step of the clock. */
+/** Records violations that may be transient. Must be called at every step of the clock. */
 export function recordTransientViolations (site: FakeSite): void {
   for (const [name, check] of Object.entries({ WorkerNeverOvercommitted, ConfigurationNeverReverts })) {
     const [problem] = check(site)
@@ -164,7 +165,7 @@
   }
 }
 
-/** Throws an error that starts with the name of the first violated check. */
+/** Throws an error that starts with the name of the first violated check, if any. */
 export function assertChecks (site: FakeSite, checks: Readonly<Record<string, Check>> = CHECKS): void {
   const [noticed] = site.noticed
   if (noticed !== undefined) throw new Error(noticed.join(': '))
@@ -174,7 +175,7 @@
   }
 }
 
-/** Texts that the log has decided, by the rule of the design page: a record whose base is the current revision becomes the next. */
+/** Returns the texts that the log has decided: a publish record becomes the next revision if it is based on the current one. */
 function decidedTexts (site: FakeSite): string[] {
   const texts: string[] = []
   for (const { body } of site.log.all(CONFIGURATION_STREAM)) {
@@ -184,7 +185,7 @@
   return texts
 }
 
-/** Number of revisions that the log has decided. */
+/** Returns the number of revisions that the log has decided. */
 export function decidedRevision (site: FakeSite): number {
   return decidedTexts(site).length
 }
@@ -193,7 +194,7 @@
   return [...site.executors.values()].flatMap(executor => executor.runs).filter(run => run.submission === submission)
 }
 
-function wasDisturbed (site: FakeSite, { submission }: SubmittedRequest): boolean {
+function hasExecutorFault (site: FakeSite, { submission }: SubmittedRequest): boolean {
   return runsOf(site, submission).some(({ fault }) => fault !== undefined)
 }
 
