--- a/features/publish.feature
+++ b/features/publish.feature
@@ -1,12 +1,12 @@
-Feature: Publishing the site text
-  Operators drive a site by publishing its text. A change that was accepted never reverts.
+Feature: Publishing the site configuration
+  Operators change a site by publishing its configuration. An accepted change is never reverted.
 
   Scenario Outline: Two operators publish from the same revision
-    Given revision 1 of the site text is in force
-    When <first> publishes a text made from revision 1
-    And <second> publishes a text made from revision 1
-    Then <first> is told that revision 2 is in force
-    And <second> is told that the race was lost to <first>
+    Given revision 1 of the site configuration is in force
+    When <first> publishes a configuration based on revision 1
+    And <second> publishes a configuration based on revision 1
+    Then the configuration of <first> is accepted as revision 2
+    And the configuration of <second> is rejected in favour of that of <first>
 
     Examples:
       | first | second |
--- a/features/steps/publish.steps.ts
+++ b/features/steps/publish.steps.ts
@@ -15,21 +15,21 @@
   world.outcomes.set(publisher, world.history.apply({ offset, identity: `record-${offset}`, writer: publisher, logicalTime: offset, body }))
 }
 
-Given('revision 1 of the site text is in force', function (this: PublishWorld) {
+Given('revision 1 of the site configuration is in force', function (this: PublishWorld) {
   this.history = new ConfigurationHistory()
   this.outcomes = new Map()
   this.offset = 0
   publish(this, 'Founder', 0)
 })
 
-When(/^(\w+) publishes a text made from revision (\d+)$/, function (this: PublishWorld, publisher: string, base: string) {
+When(/^(\w+) publishes a configuration based on revision (\d+)$/, function (this: PublishWorld, publisher: string, base: string) {
   publish(this, publisher, Number(base))
 })
 
-Then(/^(\w+) is told that revision (\d+) is in force$/, function (this: PublishWorld, publisher: string, revision: string) {
+Then(/^the configuration of (\w+) is accepted as revision (\d+)$/, function (this: PublishWorld, publisher: string, revision: string) {
   assert.deepEqual(this.outcomes.get(publisher), { kind: 'accepted', revision: Number(revision) })
 })
 
-Then(/^(\w+) is told that the race was lost to (\w+)$/, function (this: PublishWorld, loser: string, winner: string) {
+Then(/^the configuration of (\w+) is rejected in favour of that of (\w+)$/, function (this: PublishWorld, loser: string, winner: string) {
   assert.deepEqual(this.outcomes.get(loser), { kind: 'lostRace', currentRevision: 2, wonBy: winner })
 })
--- a/features/steps/serving.steps.ts
+++ b/features/steps/serving.steps.ts
@@ -6,11 +6,11 @@
 
 interface ServingWorld {
   site: FakeSite | undefined
-  texts: Array<string | undefined>
+  publishedTexts: Array<string | undefined>
 }
 
-/** Times from this length on are advanced in coarse steps. */
-const LONG_SECONDS = 15
+/** Periods of at least this length are advanced in coarse steps. */
+const COARSE_STEPS_SECONDS = 15
 
 setDefaultTimeout(60_000)
 
@@ -25,7 +25,7 @@
   return instance
 }
 
-function assertWhole (requests: readonly SubmittedRequest[]): void {
+function assertComplete (requests: readonly SubmittedRequest[]): void {
   assert.ok(requests.length > 0)
   for (const { submission, outcome } of requests) assert.equal(outcome?.kind, 'complete', `${submission}: ${JSON.stringify(outcome)}`)
 }
@@ -51,7 +51,7 @@
 })
 
 When(/^(\d+) seconds pass$/, async function (this: ServingWorld, seconds: string) {
-  await siteOf(this).advance(Number(seconds) * 1000, Number(seconds) >= LONG_SECONDS)
+  await siteOf(this).advance(Number(seconds) * 1000, Number(seconds) >= COARSE_STEPS_SECONDS)
 })
 
 When(/^(\d+) (booking|lookup|sync) requests are sent to (\S+)$/, function (this: ServingWorld, count: string, service: ServiceName, name: string) {
@@ -59,17 +59,17 @@
   for (let sent = 0; sent < Number(count); sent += 1) site.request(instanceOf(site, name), service)
 })
 
-When(/^a booking with the key (\S+) is sent to (\S+)$/, function (this: ServingWorld, key: string, name: string) {
+When(/^a booking with the idempotency key (\S+) is sent to (\S+)$/, function (this: ServingWorld, key: string, name: string) {
   const site = siteOf(this)
   site.request(instanceOf(site, name), 'booking', { key })
 })
 
-When(/^(\S+) is stopped as planned$/, function (this: ServingWorld, name: string) {
+When(/^(\S+) is shut down gracefully$/, function (this: ServingWorld, name: string) {
   const site = siteOf(this)
   site.stop(instanceOf(site, name))
 })
 
-When(/^(\S+) leaves$/, function (this: ServingWorld, name: string) {
+When(/^(\S+) is listed as leaving$/, function (this: ServingWorld, name: string) {
   siteOf(this).listMachine(name, 'leaving')
 })
 
@@ -80,7 +80,7 @@
 
 When('two operators publish from revision 1 at the same time', function (this: ServingWorld) {
   const site = siteOf(this)
-  this.texts = [site.publish(1), site.publish(1)]
+  this.publishedTexts = [site.publish(1), site.publish(1)]
 })
 
 When(/^a (deferrable )?batch job of (\d+) tasks is submitted to (\S+)$/, function (this: ServingWorld, deferrable: string | null, tasks: string, name: string) {
@@ -88,7 +88,7 @@
   site.submitJob(instanceOf(site, name), 'batch', { tasks: Number(tasks), checkpointable: true, urgency: deferrable === null ? 'normal' : 'deferrable', runMilliseconds: 8000 })
 })
 
-When(/^(gent-[ab]) is cut off$/, function (this: ServingWorld, domain: string) {
+When(/^(gent-[ab]) is partitioned from the network$/, function (this: ServingWorld, domain: string) {
   const site = siteOf(this)
   site.network.cut(domain, PLATFORM)
   site.network.cut('gent-a', 'gent-b')
@@ -103,45 +103,45 @@
   for (const instance of [...site.current.values()]) site.restart(instance)
 })
 
-Then('the text of the first operator is in force everywhere as revision 2', function (this: ServingWorld) {
+Then('the configuration of the first operator is in force on every instance as revision 2', function (this: ServingWorld) {
   for (const { name, entry } of siteOf(this).alive()) {
     const current = entry.components.configuration.inForce
-    assert.deepEqual([current?.revision, current?.source], [2, this.texts[0]], name)
+    assert.deepEqual([current?.revision, current?.source], [2, this.publishedTexts[0]], name)
   }
 })
 
-Then('every request is answered whole', function (this: ServingWorld) {
-  assertWhole(siteOf(this).requests)
+Then('every request receives a complete response', function (this: ServingWorld) {
+  assertComplete(siteOf(this).requests)
 })
 
-Then('every booking request is answered whole', function (this: ServingWorld) {
-  assertWhole(siteOf(this).requests.filter(({ service }) => service === 'booking'))
+Then('every booking request receives a complete response', function (this: ServingWorld) {
+  assertComplete(siteOf(this).requests.filter(({ service }) => service === 'booking'))
 })
 
-Then('some sync requests are answered notRun or wait', function (this: ServingWorld) {
+Then('some sync requests receive the verdict notRun or are still waiting', function (this: ServingWorld) {
   assert.ok(siteOf(this).requests.some(({ service, outcome }) => service === 'sync' && (outcome === undefined || (outcome.kind === 'error' && outcome.verdict === 'notRun'))))
 })
 
-Then(/^(\S+) has stopped without cutting off a request$/, function (this: ServingWorld, name: string) {
+Then(/^(\S+) has stopped without aborting a request$/, function (this: ServingWorld, name: string) {
   const { stoppedAt, cutOff } = instanceOf(siteOf(this), name)
   assert.notEqual(stoppedAt, undefined)
   assert.equal(cutOff, 0)
 })
 
-Then(/^(\S+) has run none of them$/, function (this: ServingWorld, name: string) {
+Then(/^(\S+) has run none of the requests$/, function (this: ServingWorld, name: string) {
   assert.equal(siteOf(this).executors.get(name)?.runs.length, 0)
 })
 
-Then(/^at most (\d+) tasks run in (\S+)$/, function (this: ServingWorld, most: string, domain: string) {
+Then(/^at most (\d+) tasks run in (\S+)$/, function (this: ServingWorld, maximum: string, domain: string) {
   const running = [...siteOf(this).workers.values()].filter(({ failureDomain }) => failureDomain === domain).flatMap(worker => worker.running)
-  assert.ok(running.length <= Number(most), `${running.length} tasks run`)
+  assert.ok(running.length <= Number(maximum), `${running.length} tasks run`)
 })
 
-// The append may have taken effect although its answer never came, so neither notRun nor an acceptance would be true.
-Then('the job is answered mayHaveRun with its identity', function (this: ServingWorld) {
-  const answer = siteOf(this).jobs[0]?.answer
-  assert.equal(answer?.kind === 'error' ? answer.error.verdict : answer?.kind, 'mayHaveRun')
-  assert.match(answer?.kind === 'error' && answer.error.code === 'outcomeUnknown' ? answer.error.job ?? '' : '', /^gent-[ab]\./)
+// The append may have taken effect although its response was lost, so neither notRun nor an acceptance would be correct.
+Then('the submission receives the verdict mayHaveRun with the identity of the job', function (this: ServingWorld) {
+  const response = siteOf(this).jobs[0]?.answer
+  assert.equal(response?.kind === 'error' ? response.error.verdict : response?.kind, 'mayHaveRun')
+  assert.match(response?.kind === 'error' && response.error.code === 'outcomeUnknown' ? response.error.job ?? '' : '', /^gent-[ab]\./)
 })
 
 Then('each failure domain has one owner', function (this: ServingWorld) {
@@ -158,7 +158,7 @@
   assert.equal([...site.workers.values()].flatMap(worker => worker.running).length, 0)
 })
 
-Then(/^the booking with the key (\S+) has run once$/, function (this: ServingWorld, key: string) {
+Then(/^the booking with the idempotency key (\S+) has run once$/, function (this: ServingWorld, key: string) {
   const site = siteOf(this)
   const submissions = new Set(site.requests.filter(request => request.key === key).map(({ submission }) => submission))
   const runs = [...site.executors.values()].flatMap(executor => executor.runs).filter(run => submissions.has(run.submission))
