--- a/test/entry/ownershipTask.test.ts
+++ b/test/entry/ownershipTask.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test'
 import type { FakeSite } from '../fakes/fakeSite.js'
 import { PLATFORM } from '../fakes/network.js'
-import { prove } from '../fuzz/fuzzer.js'
+import { verifySite } from '../fuzz/fuzzer.js'
 
 const TAKEOVER_MILLISECONDS = 10_000
 
@@ -23,7 +23,7 @@
 describe('OwnershipTask', () => {
   for (const { name, perform } of RESTARTS) {
     it(`each failure domain has an owner again after ${name}`, async () => {
-      await prove({ seed: 0 }, async site => {
+      await verifySite({ seed: 0 }, async site => {
         perform(site)
         await site.advance(TAKEOVER_MILLISECONDS)
         assertOneOwnerEach(site)
@@ -34,7 +34,7 @@
   // Abandoned renewals shifted every later confirmation, so that the holder of the term never acted as owner again.
   for (const milliseconds of PARTITION_MILLISECONDS) {
     it(`a successor that is cut off from the log for ${milliseconds} ms acts as owner afterwards`, async () => {
-      await prove({ seed: 0 }, async site => {
+      await verifySite({ seed: 0 }, async site => {
         const elector = site.runningInstances().find(({ entry, failureDomain }) => failureDomain === 'gent-a' && !entry.components.ownership.isOwner())
         elector?.process.pause()
         await site.advance(5000)
--- a/test/fuzz/faults.ts
+++ b/test/fuzz/faults.ts
@@ -12,65 +12,65 @@
 import { Ownership } from '../../src/zones/ownership.js'
 import type { FuzzOptions } from './fuzzer.js'
 
-/** A fault planted in the code, and the check that must find it. */
-export interface PlantedFault {
+/** A fault that is injected into the code, and the checks that must find it. */
+export interface InjectedFault {
   readonly name: string
-  /** Any of these checks counts as finding it. */
+  /** The fault counts as found if any of these checks fails. */
   readonly checks: readonly string[]
   readonly seed: number
-  /** Smallest number of runs that finds it with the seed. */
+  /** Minimum number of runs that finds the fault with the seed. */
   readonly runs: number
-  readonly options: Pick<FuzzOptions, 'plant' | 'wrapConnections' | 'keys'>
+  readonly options: Pick<FuzzOptions, 'injectFault' | 'wrapConnections' | 'keys'>
 }
 
-type Method = (this: never, ...given: never[]) => unknown
-type Loose = Record<string, (...given: unknown[]) => unknown>
+type Method = (this: never, ...parameters: never[]) => unknown
+type UntypedObject = Record<string, (...parameters: unknown[]) => unknown>
 
-/** Replaces a method of a class until the returned function is called. */
-export function replace (type: { prototype: object }, name: string, substitute: (original: (...given: unknown[]) => unknown, self: Loose, ...given: unknown[]) => unknown): () => () => void {
+/** Returns a function that replaces a method of a class, which in turn returns a function that restores it. */
+export function replaceMethod (type: { prototype: object }, name: string, substitute: (original: (...parameters: unknown[]) => unknown, self: UntypedObject, ...parameters: unknown[]) => unknown): () => () => void {
   return () => {
-    const prototype = type.prototype as Loose
+    const prototype = type.prototype as UntypedObject
     const original = prototype[name] as Method
-    if (typeof original !== 'function') throw new Error(`there is no method '${name}' to plant a fault in`)
-    prototype[name] = function (this: Loose, ...given: unknown[]) {
-      return substitute((...passed) => original.apply(this as never, passed as never[]), this, ...given)
+    if (typeof original !== 'function') throw new Error(`no method '${name}' to inject a fault into`)
+    prototype[name] = function (this: UntypedObject, ...parameters: unknown[]) {
+      return substitute((...passed) => original.apply(this as never, passed as never[]), this, ...parameters)
     }
-    return () => { prototype[name] = original as Loose[string] }
+    return () => { prototype[name] = original as UntypedObject[string] }
   }
 }
 
-/** Replaces a getter of a class until the returned function is called. */
+/** Returns a function that replaces a getter of a class, which in turn returns a function that restores it. */
 export function replaceGetter (type: { prototype: object }, name: string, substitute: (self: never) => unknown): () => () => void {
   return () => {
     const original = Object.getOwnPropertyDescriptor(type.prototype, name)
-    if (original?.get === undefined) throw new Error(`there is no getter '${name}' to plant a fault in`)
+    if (original?.get === undefined) throw new Error(`no getter '${name}' to inject a fault into`)
     Object.defineProperty(type.prototype, name, { ...original, get () { return substitute(this as never) } })
     return () => Object.defineProperty(type.prototype, name, original)
   }
 }
 
-/** Changes every result of an executor client. */
-function withResults (change: (result: ExecutorResult, send: () => Promise<ExecutorResult>) => Promise<ExecutorResult>): FuzzOptions['wrapConnections'] {
+/** Wraps the executor client so that `change` transforms every result. */
+function transformResults (change: (result: ExecutorResult, send: () => Promise<ExecutorResult>) => Promise<ExecutorResult>): FuzzOptions['wrapConnections'] {
   return (connections: EntryConnections) => {
     const client = connections.executors
     const original = client.send.bind(client)
-    client.send = async (...given: Parameters<ExecutorClient['send']>) => await change(await original(...given), async () => await original(...given))
+    client.send = async (...parameters: Parameters<ExecutorClient['send']>) => await change(await original(...parameters), async () => await original(...parameters))
     return connections
   }
 }
 
 function swapBodies (): FuzzOptions['wrapConnections'] {
-  let kept: ExecutorResult | undefined
-  return withResults(async result => {
+  let last: ExecutorResult | undefined
+  return transformResults(async result => {
     if (result.kind !== 'answer' || result.response.status !== 200) return result
-    const previous = kept
-    kept = result
+    const previous = last
+    last = result
     return previous?.kind === 'answer' && !previous.response.body.destroyed ? { ...result, response: { ...result.response, body: previous.response.body } } : result
   })
 }
 
-function completeCutBodies (): FuzzOptions['wrapConnections'] {
-  return withResults(async result => {
+function completeTruncatedBodies (): FuzzOptions['wrapConnections'] {
+  return transformResults(async result => {
     if (result.kind !== 'answer') return result
     const body = new PassThrough()
     result.response.body.pipe(body)
@@ -79,21 +79,21 @@
   })
 }
 
-/** The table of planted faults. Those with 100 runs have not been found with their seed yet; the others are found in exactly their runs. */
-export const PLANTED_FAULTS: readonly PlantedFault[] = [
+/** Table of injected faults. Those with 100 runs are not found with their seed within these runs; each of the others is found in the last of its runs. */
+export const INJECTED_FAULTS: readonly InjectedFault[] = [
   {
     name: 'worker accounting ignores starts of unknown outcome',
     checks: ['WorkerNeverOvercommitted', 'TaskNeverInTwoPlaces'],
     seed: 1,
     runs: 100,
-    options: { plant: replace(Scheduler, 'onStartOutcome', (original, _self, task, attempt, outcome, now) => original(task, attempt, outcome === 'unknown' ? 'notSent' : outcome, now)) }
+    options: { injectFault: replaceMethod(Scheduler, 'onStartOutcome', (original, _self, task, attempt, outcome, now) => original(task, attempt, outcome === 'unknown' ? 'notSent' : outcome, now)) }
   },
   {
     name: 'worker accounting ignores memory and processors',
     checks: ['WorkerNeverOvercommitted'],
     seed: 1,
     runs: 1,
-    options: { plant: replace(Worker, 'adopt', (original, _self, task, job, attempt, resources, ...rest) => original(task, job, attempt, { ...resources as object, processorsThousandths: 0 }, ...rest)) }
+    options: { injectFault: replaceMethod(Worker, 'adopt', (original, _self, task, job, attempt, resources, ...rest) => original(task, job, attempt, { ...resources as object, processorsThousandths: 0 }, ...rest)) }
   },
   {
     name: 'the lease is counted from when its renewal was read and lasts 20 s',
@@ -101,10 +101,10 @@
     seed: 4,
     runs: 100,
     options: {
-      plant: replace(Ownership, 'onRenewal', (original, self, ...given) => {
-        original(...given)
-        const rules = self as unknown as { holdsTerm: () => boolean, leaseUntil: number }
-        if (rules.holdsTerm()) rules.leaseUntil = (given[given.length - 1] as number) + 20_000
+      injectFault: replaceMethod(Ownership, 'onRenewal', (original, self, ...parameters) => {
+        original(...parameters)
+        const ownership = self as unknown as { holdsTerm: () => boolean, leaseUntil: number }
+        if (ownership.holdsTerm()) ownership.leaseUntil = (parameters[parameters.length - 1] as number) + 20_000
       })
     }
   },
@@ -113,46 +113,46 @@
     checks: ['TaskNeverInTwoPlaces', 'WorkerNeverOvercommitted'],
     seed: 1,
     runs: 100,
-    options: { plant: replace(Scheduler, 'inventoryComplete', () => true) }
+    options: { injectFault: replaceMethod(Scheduler, 'inventoryComplete', () => true) }
   },
   {
     name: 'a request that may have run is sent again although it is not idempotent',
     checks: ['NonIdempotentAtMostOnce'],
     seed: 11,
     runs: 1,
-    options: { plant: replace(RequestDispatcher, 'mayRetry', (original, _self, pending, failed) => original(pending, { ...failed as object, retryable: true, sent: false })) }
+    options: { injectFault: replaceMethod(RequestDispatcher, 'mayRetry', (original, _self, pending, failed) => original(pending, { ...failed as object, retryable: true, sent: false })) }
   },
-  { name: 'answers are swapped between two requests', checks: ['WholeOwnAnswer'], seed: 1, runs: 1, options: { wrapConnections: swapBodies() } },
-  { name: 'a truncated body is passed as complete', checks: ['WholeOwnAnswer'], seed: 2, runs: 1, options: { wrapConnections: completeCutBodies() } },
+  { name: 'responses are swapped between two requests', checks: ['WholeOwnAnswer'], seed: 1, runs: 1, options: { wrapConnections: swapBodies() } },
+  { name: 'a truncated body is passed on as complete', checks: ['WholeOwnAnswer'], seed: 2, runs: 1, options: { wrapConnections: completeTruncatedBodies() } },
   {
-    name: 'an unknown outcome is answered notRun',
+    name: 'an unknown outcome is reported as notRun',
     checks: ['NotRunMeansNotRun'],
     seed: 10,
     runs: 2,
-    options: { wrapConnections: withResults(async result => result.kind === 'mayHaveRun' ? { kind: 'notSent', reason: result.reason } : result) }
+    options: { wrapConnections: transformResults(async result => result.kind === 'mayHaveRun' ? { kind: 'notSent', reason: result.reason } : result) }
   },
   {
-    name: 'a graceful stop does not wait',
+    name: 'a graceful shutdown does not wait',
     checks: ['GracefulStop', 'EveryRequestAnswered'],
     seed: 1,
     runs: 2,
     options: {
-      plant: replaceGetter(RequestDispatcher, 'activeRequests', () => 0)
+      injectFault: replaceGetter(RequestDispatcher, 'activeRequests', () => 0)
     }
   },
   {
-    name: 'a grant is used after its end',
+    name: 'a grant is used after its expiry',
     checks: ['ExecutorSlotsNeverExceeded'],
     seed: 1,
     runs: 100,
-    options: { plant: replace(SlotHolder, 'free', (original, _self, executor) => original(executor, -Infinity)) }
+    options: { injectFault: replaceMethod(SlotHolder, 'free', (original, _self, executor) => original(executor, -Infinity)) }
   },
   {
     name: 'a slot is released when its request times out',
     checks: ['ExecutorSlotsNeverExceeded'],
     seed: 1,
     runs: 100,
-    options: { plant: replace(RequestSender, 'releaseAfterRun', (_original, self, _pending, executor) => { self.release?.(executor) }) }
+    options: { injectFault: replaceMethod(RequestSender, 'releaseAfterRun', (_original, self, _pending, executor) => { self.release?.(executor) }) }
   },
   {
     name: 'the publish record that was read last wins',
@@ -160,7 +160,7 @@
     seed: 1,
     runs: 1,
     options: {
-      plant: replace(ConfigurationHistory, 'apply', (original, self, record) => {
+      injectFault: replaceMethod(ConfigurationHistory, 'apply', (original, self, record) => {
         const { body } = record as { body: { baseRevision?: number } }
         return original({ ...record as object, body: { ...body, baseRevision: (self as unknown as { decided: number }).decided } })
       })
@@ -172,9 +172,9 @@
     seed: 1,
     runs: 100,
     options: {
-      plant: replace(ConfigurationHistory, 'learn', (original, self, ...given) => {
+      injectFault: replaceMethod(ConfigurationHistory, 'learn', (original, self, ...parameters) => {
         Object.assign(self, { current: undefined })
-        return original(...given)
+        return original(...parameters)
       })
     }
   },
@@ -184,7 +184,7 @@
     seed: 8,
     runs: 2,
     options: {
-      plant: replace(RequestDispatcher, 'refreshExecutors', (original, self) => {
+      injectFault: replaceMethod(RequestDispatcher, 'refreshExecutors', (original, self) => {
         original()
         for (const executor of (self as unknown as { executors: Map<string, { leaving: boolean }> }).executors.values()) executor.leaving = false
       })
@@ -195,7 +195,7 @@
     checks: ['NoAcceptedJobLost'],
     seed: 1,
     runs: 1,
-    options: { plant: replace(PlacementTask, 'endJob', () => {}) }
+    options: { injectFault: replaceMethod(PlacementTask, 'endJob', () => {}) }
   },
   {
     name: 'a finished task is acknowledged before its end is in the log',
@@ -203,7 +203,7 @@
     seed: 1,
     runs: 100,
     options: {
-      plant: replace(TaskLedger, 'onReportedTask', (original, _self, entry, reported, now) => {
+      injectFault: replaceMethod(TaskLedger, 'onReportedTask', (original, _self, entry, reported, now) => {
         original(entry, reported, now)
         const { task, attempt, state } = reported as { task: string, attempt: unknown, state: string }
         if (state === 'finished') (entry as { pendingAcknowledgements: Map<string, unknown> }).pendingAcknowledgements.set(task, attempt)
--- a/test/fuzz/fuzz.test.ts
+++ b/test/fuzz/fuzz.test.ts
@@ -2,18 +2,18 @@
 import { describe, it } from 'node:test'
 import { FakeSite } from '../fakes/fakeSite.js'
 import { itUnlessKnownRed } from '../knownRed.js'
-import { PLANTED_FAULTS } from './faults.js'
-import { fuzz, prove, type FuzzOptions } from './fuzzer.js'
-import { assertChecks, watch } from './oracle.js'
+import { INJECTED_FAULTS } from './faults.js'
+import { fuzz, verifySite, type FuzzOptions } from './fuzzer.js'
+import { assertChecks, recordTransientViolations } from './oracle.js'
 
 const CASES: ReadonlyArray<Pick<FuzzOptions, 'seed' | 'runs' | 'firstRun' | 'keys'>> = [
   { seed: 21, runs: 12 },
   { seed: 22, runs: 12 },
-  // A slot was given back before its executor, which counts the run time from the arrival of the request, had ended the run.
+  // A slot was released before the executor, which measures the run time from the arrival of the request, had ended the run.
   { seed: 14, runs: 1, firstRun: 34, keys: true }
 ]
-/** Faults that need more runs are left to `npm run fuzz:faults`. */
-const MOST_RUNS_FOR_A_FAULT = 8
+/** Faults that need more runs are only covered by `npm run fuzz:faults`. */
+const MAXIMUM_FAULT_RUNS = 8
 
 describe('fuzzing', () => {
   for (const { seed, runs, firstRun, keys } of CASES) {
@@ -23,16 +23,16 @@
     })
   }
 
-  for (const { name, checks, seed, runs, options } of PLANTED_FAULTS) {
-    if (runs > MOST_RUNS_FOR_A_FAULT) continue
-    it(`finds the planted fault: ${name} (seed ${seed}, ${runs} runs)`, async () => {
+  for (const { name, checks, seed, runs, options } of INJECTED_FAULTS) {
+    if (runs > MAXIMUM_FAULT_RUNS) continue
+    it(`finds the injected fault: ${name} (seed ${seed}, ${runs} runs)`, async () => {
       const failure = await fuzz({ seed, runs, shrink: false, ...options })
       assert.ok(failure !== undefined && checks.some(check => failure.problem.startsWith(check)), failure?.problem)
     })
   }
 
   itUnlessKnownRed('a keyed booking that is submitted again to another instance runs once', async () => {
-    await prove({ seed: 0 }, async site => {
+    await verifySite({ seed: 0 }, async site => {
       site.request(site.instanceAt(0), 'booking', { key: 'parcel-1' })
       site.request(site.instanceAt(1), 'booking', { key: 'parcel-1' })
       await site.advance(4000)
@@ -40,7 +40,7 @@
   })
 
   itUnlessKnownRed('executors carry at most their slots when demand moves between instances', async () => {
-    const site = new FakeSite({ seed: 107267 }, watch)
+    const site = new FakeSite({ seed: 107267 }, recordTransientViolations)
     try {
       await site.start()
       await site.advance(50)
@@ -54,7 +54,7 @@
     }
   })
 
-  // Guards against timers and listeners that outlive an instance, also after faults.
+  // Guards against timers and listeners that outlive an instance, in particular after faults.
   it('leaves no timer after every instance has been disposed', async () => {
     const site = new FakeSite({ seed: 1 })
     await site.start()
