--- a/src/entry/callerRequest.ts
+++ b/src/entry/callerRequest.ts
@@ -42,7 +42,7 @@
   mayHaveRun = false
   private settled = false
 
-  constructor (readonly request: CallerRequest, readonly service: Service, private readonly resolve: (answer: ServingResult) => void) {}
+  constructor (readonly request: CallerRequest, readonly service: Service, private readonly resolve: (result: ServingResult) => void) {}
 
   get identity (): string {
     return this.request.identity
--- a/src/entry/forwarder.ts
+++ b/src/entry/forwarder.ts
@@ -27,10 +27,10 @@
   ) {}
 
   /** Selects a random live instance in another failure domain that has a live executor for the request. Returns undefined if there is none, or if the request was already forwarded. */
-  selectTarget (pending: PendingRequest, text: SiteConfiguration): ListedEntry | undefined {
+  selectTarget (pending: PendingRequest, siteConfiguration: SiteConfiguration): ListedEntry | undefined {
     if (pending.request.isForwarded) return undefined
     const pool = pending.service.executorPool
-    const otherDomains = Object.keys(text.executorPools[pool]?.executors ?? {}).filter(domain => domain !== this.context.settings.failureDomain)
+    const otherDomains = Object.keys(siteConfiguration.executorPools[pool]?.executors ?? {}).filter(domain => domain !== this.context.settings.failureDomain)
     const usableDomains = new Set(otherDomains.filter(domain => this.membership.executors(domain).some(executor => executor.pool === pool && executor.state === 'live')))
     const entries = this.membership.entries().filter(entry => entry.state === 'live' && usableDomains.has(entry.failureDomain))
     return entries.length === 0 ? undefined : this.context.random.pick(entries)
--- a/src/entry/idempotencyKeyTask.ts
+++ b/src/entry/idempotencyKeyTask.ts
@@ -38,7 +38,7 @@
   z.object({ kind: z.literal('recorded'), status: z.number().int(), contentType: z.string().optional(), bodyBase64: z.string() })
 ])
 
-/** Decides about idempotency keys whose home is the own failure domain, and requests decisions about other keys from their home, where the owner decides. */
+/** Decides whether requests with idempotency keys may run. The owner of a key's home failure domain decides; other instances request the decision from it, those of other failure domains through any entry instance of the home. */
 export class IdempotencyKeyTask extends DisposableObject {
   private readonly keys = new IdempotencyKeys()
   private readonly appenders = new Map<string, LogAppender>()
--- a/src/entry/jobTask.ts
+++ b/src/entry/jobTask.ts
@@ -49,12 +49,12 @@
 
   /** Accepts a job once it is in the log. Submissions of a team with the same idempotency key result in the same job. */
   async submit (submission: JobSubmission, idempotencyKey: string | undefined): Promise<JobRequestResult> {
-    const text = this.configuration.inForce?.text
-    if (text === undefined) return failure({ code: 'notReady', verdict: 'notRun', message: 'no configuration is in force yet', retryAfterSeconds: 1 })
-    const problem = validateSubmission(submission, text)
+    const siteConfiguration = this.configuration.inForce?.text
+    if (siteConfiguration === undefined) return failure({ code: 'notReady', verdict: 'notRun', message: 'no configuration is in force yet', retryAfterSeconds: 1 })
+    const problem = validateSubmission(submission, siteConfiguration)
     if (problem !== undefined) return failure(problem)
     const seed = idempotencyKey === undefined ? randomUUID() : createHash('sha256').update(`${submission.team}\n${idempotencyKey}`).digest('hex').slice(0, 32)
-    const failureDomain = selectFailureDomain(submission, text, seed)
+    const failureDomain = selectFailureDomain(submission, siteConfiguration, seed)
     if (failureDomain === undefined) return failure({ code: 'jobNeverFits', verdict: 'notRun', message: neverFitsMessage(submission) })
     const identity = `${failureDomain}.${seed}`
     const job: Job = { ...submission, identity, acceptedAtMilliseconds: Date.now() }
@@ -134,30 +134,30 @@
   return dot > 0 ? identity.slice(0, dot) : undefined
 }
 
-function validateSubmission (submission: JobSubmission, text: SiteConfiguration): ServingError | undefined {
-  if (!(submission.team in text.teams)) {
+function validateSubmission (submission: JobSubmission, siteConfiguration: SiteConfiguration): ServingError | undefined {
+  if (!(submission.team in siteConfiguration.teams)) {
     return { code: 'malformedRequest', verdict: 'notRun', message: `team: unknown team '${submission.team}'` }
   }
-  if (submission.failureDomain !== undefined && !(submission.failureDomain in text.failureDomains)) {
+  if (submission.failureDomain !== undefined && !(submission.failureDomain in siteConfiguration.failureDomains)) {
     return { code: 'malformedRequest', verdict: 'notRun', message: `failureDomain: unknown failure domain '${submission.failureDomain}'` }
   }
   return undefined
 }
 
 /** Selects, by the seed, one of the failure domains whose workers could ever run the job. */
-function selectFailureDomain (submission: JobSubmission, text: SiteConfiguration, seed: string): string | undefined {
-  const candidates = Object.keys(text.failureDomains)
+function selectFailureDomain (submission: JobSubmission, siteConfiguration: SiteConfiguration, seed: string): string | undefined {
+  const candidates = Object.keys(siteConfiguration.failureDomains)
     .filter(domain => submission.failureDomain === undefined || domain === submission.failureDomain)
-    .filter(domain => couldEverFit(submission, workerCapacities(text, domain)))
+    .filter(domain => couldEverFit(submission, workerCapacities(siteConfiguration, domain)))
     .sort()
   if (candidates.length === 0) return undefined
   return candidates[Number.parseInt(seed.slice(0, 8), 16) % candidates.length]
 }
 
 /** Returns the capacities of the workers that the site configuration defines for a failure domain. */
-export function workerCapacities (text: SiteConfiguration, failureDomain: string): Resources[] {
+export function workerCapacities (siteConfiguration: SiteConfiguration, failureDomain: string): Resources[] {
   const capacities: Resources[] = []
-  for (const pool of Object.values(text.workerPools)) {
+  for (const pool of Object.values(siteConfiguration.workerPools)) {
     const { processorsThousandths, memoryBytes, accelerators } = pool
     for (let count = pool.workers[failureDomain] ?? 0; count > 0; count -= 1) capacities.push({ processorsThousandths, memoryBytes, accelerators })
   }
--- a/src/entry/ownershipTask.ts
+++ b/src/entry/ownershipTask.ts
@@ -30,7 +30,7 @@
 
 /** Runs the ownership protocol of the failure domain on behalf of this instance. */
 export class OwnershipTask extends Task<OwnershipMessage> {
-  private readonly rules: Ownership
+  private readonly ownership: Ownership
   private wasOwner = false
   private joined = false
   private joining = false
@@ -49,7 +49,7 @@
     private readonly membership: Membership
   ) {
     super()
-    this.rules = new Ownership(context.settings.failureDomain, { instance: context.settings.instance, incarnation: context.incarnation })
+    this.ownership = new Ownership(context.settings.failureDomain, { instance: context.settings.instance, incarnation: context.incarnation })
     this.register(this.didChange)
     this.register(follower.onDidReadRecord(record => this.post({ kind: 'record', record })))
     this.register(follower.onDidTruncate(retainedFrom => this.post({ kind: 'truncated', retainedFrom })))
@@ -63,23 +63,23 @@
 
   /** Returns whether this instance may act as owner now. Must be checked right before each such action. */
   isOwner (): boolean {
-    return this.rules.isOwner(monotonicNow())
+    return this.ownership.isOwner(monotonicNow())
   }
 
   get term (): number {
-    return this.rules.term
+    return this.ownership.term
   }
 
   get owner (): InstanceIdentity | undefined {
-    return this.rules.currentOwner
+    return this.ownership.currentOwner
   }
 
   /** Releases ownership on a graceful shutdown. Resolves when the record is in the log or `timeoutMilliseconds` have passed. */
   async release (timeoutMilliseconds: number): Promise<void> {
-    const body = this.rules.release()
+    const body = this.ownership.release()
     if (body === undefined) return
     this.notifyOwnerChange()
-    this.context.events.record('ownershipReleased', { failureDomain: this.context.settings.failureDomain, term: this.rules.term })
+    this.context.events.record('ownershipReleased', { failureDomain: this.context.settings.failureDomain, term: this.ownership.term })
     await this.appender.append(body, timeoutMilliseconds)
   }
 
@@ -93,16 +93,16 @@
         this.onPromiseRequest(message.from, message.message, now)
         break
       case 'promise':
-        this.rules.onPromise({ instance: message.from.instance, incarnation: message.from.incarnation }, message.message.request, message.message.granted)
+        this.ownership.onPromise({ instance: message.from.instance, incarnation: message.from.incarnation }, message.message.request, message.message.granted)
         break
       case 'truncated':
-        this.rules.markTruncated(message.retainedFrom)
+        this.ownership.markTruncated(message.retainedFrom)
         break
       case 'caughtUp':
-        this.rules.markCaughtUp(this.hasOwnershipRecord)
+        this.ownership.markCaughtUp(this.hasOwnershipRecord)
         break
       case 'renewalSettled':
-        this.rules.renewalSettled()
+        this.ownership.renewalSettled()
         break
       case 'probed':
         this.probing = false
@@ -120,13 +120,13 @@
   }
 
   private onRecord (record: StoredRecord, now: number): void {
-    const previousTerm = this.rules.term
-    this.rules.onRecord(record, now)
+    const previousTerm = this.ownership.term
+    this.ownership.onRecord(record, now)
     if (record.body.type !== 'instanceJoined') this.hasOwnershipRecord = true
     if (record.body.type === 'instanceJoined' && record.body.incarnation === this.context.incarnation) this.joined = true
-    if (this.rules.term === previousTerm || this.rules.currentOwner?.incarnation !== this.context.incarnation) return
-    this.context.logger.info('claimed the failure domain', { failureDomain: this.context.settings.failureDomain, term: this.rules.term })
-    this.context.events.record('ownershipClaimed', { failureDomain: this.context.settings.failureDomain, term: this.rules.term })
+    if (this.ownership.term === previousTerm || this.ownership.currentOwner?.incarnation !== this.context.incarnation) return
+    this.context.logger.info('claimed the failure domain', { failureDomain: this.context.settings.failureDomain, term: this.ownership.term })
+    this.context.events.record('ownershipClaimed', { failureDomain: this.context.settings.failureDomain, term: this.ownership.term })
   }
 
   private onTick (now: number): void {
@@ -136,7 +136,7 @@
       return
     }
     const view = { isGone: (identity: InstanceIdentity) => this.isGone(identity, now), logCurrentAt: this.logCurrentAt }
-    for (const action of this.rules.tick(now, view)) this.perform(action)
+    for (const action of this.ownership.tick(now, view)) this.perform(action)
   }
 
   private async join (): Promise<void> {
@@ -183,7 +183,7 @@
         type: 'promiseRequest',
         logicalTime: this.context.events.clock.tick(),
         failureDomain: this.context.settings.failureDomain,
-        term: this.rules.term,
+        term: this.ownership.term,
         request: action.request,
         durationMilliseconds: action.durationMilliseconds
       })
@@ -191,9 +191,9 @@
   }
 
   private onPromiseRequest (from: PeerIdentity, message: LinkMessageOf<'promiseRequest'>, now: number): void {
-    const owner = this.rules.currentOwner
+    const owner = this.ownership.currentOwner
     const fromOwner = owner !== undefined && instanceKey(owner) === instanceKey(from)
-    const granted = fromOwner && message.failureDomain === this.context.settings.failureDomain && this.rules.onPromiseRequest(message.term, message.durationMilliseconds, now)
+    const granted = fromOwner && message.failureDomain === this.context.settings.failureDomain && this.ownership.onPromiseRequest(message.term, message.durationMilliseconds, now)
     this.links.send(from.instance, { type: 'promise', logicalTime: this.context.events.clock.tick(), failureDomain: message.failureDomain, term: message.term, request: message.request, granted })
   }
 
@@ -206,7 +206,7 @@
     const isOwner = this.isOwner()
     if (isOwner === this.wasOwner) return
     this.wasOwner = isOwner
-    const fields = { failureDomain: this.context.settings.failureDomain, term: this.rules.term }
+    const fields = { failureDomain: this.context.settings.failureDomain, term: this.ownership.term }
     this.context.logger.info(isOwner ? 'acting as owner of the failure domain' : 'no longer owner of the failure domain', fields)
     this.context.events.record(isOwner ? 'ownershipTaken' : 'ownershipLost', fields)
     this.didChange.fire(isOwner)
--- a/src/entry/placementTask.ts
+++ b/src/entry/placementTask.ts
@@ -94,11 +94,11 @@
     }
     this.term = this.ownership.term
     this.ownerSince = now
-    const firstOwner = this.term === 1
-    const silentWorkersLapseAt = firstOwner ? now : now + silentWorkerBoundMilliseconds(TASK_LEASE_MILLISECONDS, TASK_LEASE_MARGIN_MILLISECONDS)
+    const isFirstTerm = this.term === 1
+    const silentWorkersLapseAt = isFirstTerm ? now : now + silentWorkerBoundMilliseconds(TASK_LEASE_MILLISECONDS, TASK_LEASE_MARGIN_MILLISECONDS)
     this.scheduler = new Scheduler(this.term, silentWorkersLapseAt, new BestFitPolicy())
     for (const registered of this.jobs.registry.openJobs()) {
-      this.scheduler.addJob(registered.job, now, !firstOwner)
+      this.scheduler.addJob(registered.job, now, !isFirstTerm)
       this.scheduler.onProgress(registered.job.identity, registered.finished, now)
       if (registered.cancelRequested) this.scheduler.cancelJob(registered.job.identity)
     }
@@ -123,17 +123,17 @@
 
   private onTick (now: number): void {
     const { scheduler } = this
-    const text = this.configuration.inForce?.text
-    if (scheduler === undefined || text === undefined || !this.ownership.isOwner()) return
+    const siteConfiguration = this.configuration.inForce?.text
+    if (scheduler === undefined || siteConfiguration === undefined || !this.ownership.isOwner()) return
     const listed = this.membership.workers(this.context.settings.failureDomain).flatMap(worker => {
-      const pool = text.workerPools[worker.pool]
+      const pool = siteConfiguration.workerPools[worker.pool]
       if (pool === undefined) return []
       const { processorsThousandths, memoryBytes, accelerators } = pool
       return [{ ...worker, capacity: { processorsThousandths, memoryBytes, accelerators }, leaving: worker.state === 'leaving' }]
     })
     scheduler.setWorkers(listed)
-    scheduler.setQuotas(text.teams)
-    scheduler.setAllowedCapacity(text.failureDomains[this.context.settings.failureDomain]?.allowedCapacityPercent ?? 100)
+    scheduler.setQuotas(siteConfiguration.teams)
+    scheduler.setAllowedCapacity(siteConfiguration.failureDomains[this.context.settings.failureDomain]?.allowedCapacityPercent ?? 100)
     this.renewLeases(scheduler, listed.length, now)
     if (listed.length === 0) return
     if (this.jobs.hasCaughtUp && now - this.ownerSince > ORPHAN_GRACE_MILLISECONDS) scheduler.resolveOrphans(now)
--- a/src/entry/requestDispatcher.ts
+++ b/src/entry/requestDispatcher.ts
@@ -62,7 +62,7 @@
     private readonly client: ExecutorClient,
     private readonly chooser: ExecutorChooser,
     private readonly slotRequester: SlotRequester,
-    private readonly keys: IdempotencyGuard,
+    private readonly idempotencyGuard: IdempotencyGuard,
     private readonly forwarder: Forwarder
   ) {
     super()
@@ -118,16 +118,16 @@
 
   /** Serves a request. Resolves with a response, whose body may still be streaming, or with an error; never rejects. */
   async serve (request: CallerRequest): Promise<ServingResult> {
-    const text = this.configuration.inForce?.text
-    const service = text?.services[request.service]
+    const siteConfiguration = this.configuration.inForce?.text
+    const service = siteConfiguration?.services[request.service]
     if (this.stopping) return refuse(request, STOPPING_ERROR)
-    if (text === undefined) return refuse(request, { code: 'notReady', verdict: 'notRun', message: 'no configuration is in force yet', retryAfterSeconds: 1 })
+    if (siteConfiguration === undefined) return refuse(request, { code: 'notReady', verdict: 'notRun', message: 'no configuration is in force yet', retryAfterSeconds: 1 })
     if (service === undefined) return refuse(request, { code: 'unknownService', verdict: 'notRun', message: `there is no service '${request.service}'` })
     if (monotonicNow() >= request.deadline) return refuse(request, { code: 'deadlineExpired', verdict: 'notRun', message: 'the deadline has passed' })
     this.activeCount += 1
     this.context.events.record('requestAccepted', { request: request.identity, service: request.service, urgency: request.urgency })
-    const enqueueRequest = async (): Promise<ServingResult> => await new Promise(resolve => this.enqueue(new PendingRequest(request, service, resolve), text.limits.queuedRequests))
-    const result = await this.keys.serve(request, service, enqueueRequest)
+    const enqueueRequest = async (): Promise<ServingResult> => await new Promise(resolve => this.enqueue(new PendingRequest(request, service, resolve), siteConfiguration.limits.queuedRequests))
+    const result = await this.idempotencyGuard.serve(request, service, enqueueRequest)
     this.recordResult(request, result)
     return result
   }
@@ -165,8 +165,8 @@
 
   /** Forwards a request that no executor of this failure domain can serve. Returns false if no peer is available or the body cannot be sent. */
   private forward (pending: PendingRequest): boolean {
-    const text = this.configuration.inForce?.text
-    const peer = text === undefined ? undefined : this.forwarder.selectTarget(pending, text)
+    const siteConfiguration = this.configuration.inForce?.text
+    const peer = siteConfiguration === undefined ? undefined : this.forwarder.selectTarget(pending, siteConfiguration)
     if (peer === undefined || !pending.request.body.canBeSent) return false
     pending.tried.add(peer.name)
     this.forwarder.forward(pending, peer).then(result => {
--- a/src/entry/retentionTask.ts
+++ b/src/entry/retentionTask.ts
@@ -14,7 +14,7 @@
 
 const DEFAULT_RETENTION_RECORDS = 20_000
 const DEFAULT_RETENTION_MILLISECONDS = 86_400_000
-/** Interval of the check for records that are due. At most one batch of re-appends by time is due at each check. */
+/** Interval of the check for records that are due. At most one batch of records becomes due by age in each interval. */
 export const RETENTION_CHECK_INTERVAL_MILLISECONDS = 5000
 const APPEND_TIMEOUT_MILLISECONDS = 3000
 
--- a/src/entry/slotTask.ts
+++ b/src/entry/slotTask.ts
@@ -57,8 +57,8 @@
       if (message.type === 'slotGrants') this.post({ kind: 'grants', from: from.instance, grants: message })
     }))
     // Instances that are not owner track lowered run times as well, because they may become owner.
-    this.register(configuration.onDidChangeRevision(({ text }) => {
-      for (const pool of Object.keys(text.executorPools)) this.runTimeBounds.update(pool, maximumRunMilliseconds(text, pool), monotonicNow())
+    this.register(configuration.onDidChangeRevision(({ text: siteConfiguration }) => {
+      for (const pool of Object.keys(siteConfiguration.executorPools)) this.runTimeBounds.update(pool, maximumRunMilliseconds(siteConfiguration, pool), monotonicNow())
     }))
     this.registerInterval(() => this.post({ kind: 'tick' }), REPORT_INTERVAL_MILLISECONDS)
   }
@@ -134,9 +134,9 @@
   }
 
   private onReport (instance: string, holder: string, report: LinkMessageOf<'slotReport'>): void {
-    const text = this.configuration.inForce?.text
-    if (this.allocator === undefined || text === undefined || report.term !== this.allocatorTerm || !this.mayGrant()) return
-    this.allocator.setExecutors(executorLimits(text, this.membership, this.context.settings.failureDomain, this.runTimeBounds, monotonicNow()))
+    const siteConfiguration = this.configuration.inForce?.text
+    if (this.allocator === undefined || siteConfiguration === undefined || report.term !== this.allocatorTerm || !this.mayGrant()) return
+    this.allocator.setExecutors(executorLimits(siteConfiguration, this.membership, this.context.settings.failureDomain, this.runTimeBounds, monotonicNow()))
     this.instanceOfHolder.set(holder, instance)
     this.handleEndedProcesses(instance, holder)
     for (const decision of this.allocator.onReport(holder, { ...report, uses: decodeUses(report.uses) }, monotonicNow())) {
@@ -183,17 +183,17 @@
 }
 
 /** Returns the limits of the executors of a failure domain. */
-export function executorLimits (text: SiteConfiguration, membership: Membership, failureDomain: string, runTimeBounds: RunTimeBounds, now: number): ExecutorLimits[] {
+export function executorLimits (siteConfiguration: SiteConfiguration, membership: Membership, failureDomain: string, runTimeBounds: RunTimeBounds, now: number): ExecutorLimits[] {
   const limits: ExecutorLimits[] = []
-  const maximumRunByPool = new Map(Object.keys(text.executorPools).map(pool => [pool, runTimeBounds.update(pool, maximumRunMilliseconds(text, pool), now)]))
+  const maximumRunByPool = new Map(Object.keys(siteConfiguration.executorPools).map(pool => [pool, runTimeBounds.update(pool, maximumRunMilliseconds(siteConfiguration, pool), now)]))
   for (const executor of membership.executors(failureDomain)) {
-    const pool = text.executorPools[executor.pool]
+    const pool = siteConfiguration.executorPools[executor.pool]
     if (pool === undefined) continue
     limits.push({ name: executor.name, pool: executor.pool, slots: pool.slots, connections: pool.connections, maximumRunMilliseconds: maximumRunByPool.get(executor.pool) ?? 0 })
   }
   return limits
 }
 
-function maximumRunMilliseconds (text: SiteConfiguration, pool: string): number {
-  return Math.max(0, ...Object.values(text.services).filter(service => service.executorPool === pool).map(service => service.maximumRunMilliseconds))
+function maximumRunMilliseconds (siteConfiguration: SiteConfiguration, pool: string): number {
+  return Math.max(0, ...Object.values(siteConfiguration.services).filter(service => service.executorPool === pool).map(service => service.maximumRunMilliseconds))
 }
--- a/src/links/connectionPool.ts
+++ b/src/links/connectionPool.ts
@@ -6,7 +6,7 @@
 const IDLE_TIMEOUT_MILLISECONDS = 4000
 const CONNECT_TIMEOUT_MILLISECONDS = 500
 
-/** Aborts a request that is no longer allowed to start when it is about to be sent. */
+/** Error of a request that is aborted right before it is sent, because it is no longer allowed to start. */
 class NotStartedError extends Error {}
 
 /** Callbacks right before the first byte of a request is sent. */
