--- a/test/entry/callerServer.test.ts
+++ b/test/entry/callerServer.test.ts
@@ -24,7 +24,7 @@
 
 const LINK_KEY = '0123456789abcdef'
 
-function siteText (): SiteConfiguration {
+function createSiteConfiguration (): SiteConfiguration {
   const service = { urgency: 'urgent', executorPool: 'pool', deadlineMilliseconds: 1500, maximumRunMilliseconds: 1000 }
   const checked = checkSiteConfiguration('test', JSON.stringify({
     site: 'test',
@@ -92,8 +92,8 @@
   const context = {
     settings: { failureDomain, instance: `i-${failureDomain}`, linkKeys: [LINK_KEY] }, incarnation: '1', logger: new Logger('i', 'error', sink), events: new EventLog('i', '1', new LogicalClock(), sink), random: new Random(1)
   } as unknown as EntryContext
-  const text = siteText()
-  const configuration = { inForce: { revision: 1, text } } as unknown as ConfigurationTask
+  const siteConfiguration = createSiteConfiguration()
+  const configuration = { inForce: { revision: 1, text: siteConfiguration } } as unknown as ConfigurationTask
   const membership = new Membership()
   membership.update([
     ...executors.map((executor, index) => ({ kind: 'executor' as const, name: `e${index}`, failureDomain: 'zone', pool: 'pool', address: executor.address, state: 'live' as const })),
@@ -157,8 +157,8 @@
       setTimeout(() => socket.destroy(), 20)
     },
     run: async site => {
-      const answer = await fetch(`${site.origin}/services/booking/x`, { method: 'POST', body: 'b' })
-      await assert.rejects(answer.text())
+      const response = await fetch(`${site.origin}/services/booking/x`, { method: 'POST', body: 'b' })
+      await assert.rejects(response.text())
       assert.equal(requestCount(site), 1)
     }
   },
@@ -169,16 +169,16 @@
       setTimeout(() => socket.destroy(), 20)
     },
     run: async site => {
-      const answer = await fetch(`${site.origin}/services/booking/x`, { method: 'POST', body: 'b' })
-      await assert.rejects(answer.text())
+      const response = await fetch(`${site.origin}/services/booking/x`, { method: 'POST', body: 'b' })
+      await assert.rejects(response.text())
     }
   },
   {
     name: 'a non-idempotent request whose response is lost is not retried',
     onData: socket => socket.destroy(),
     run: async site => {
-      const answer = await fetch(`${site.origin}/services/booking/x`, { method: 'POST', body: 'b' })
-      const { error } = await answer.json() as { error: { verdict: string } }
+      const response = await fetch(`${site.origin}/services/booking/x`, { method: 'POST', body: 'b' })
+      const { error } = await response.json() as { error: { verdict: string } }
       assert.equal(error.verdict, 'mayHaveRun')
       assert.equal(requestCount(site), 1)
     }
@@ -229,7 +229,7 @@
     name: 'hop-by-hop headers and those named by connection are dropped in both directions',
     onData: respond('ok', 'connection: x-answer-hop, keep-alive\r\nx-answer-hop: 1\r\nkeep-alive: timeout=9\r\nx-kept: 1\r\n'),
     run: async site => {
-      const text = await exchangeRaw(site.port, 'GET /services/lookup/x HTTP/1.1\r\nhost: h\r\nconnection: x-hop\r\nx-hop: 1\r\nte: trailers\r\nx-end: 1\r\n\r\n', answer => answer.endsWith('ok'))
+      const text = await exchangeRaw(site.port, 'GET /services/lookup/x HTTP/1.1\r\nhost: h\r\nconnection: x-hop\r\nx-hop: 1\r\nte: trailers\r\nx-end: 1\r\n\r\n', data => data.endsWith('ok'))
       assert.doesNotMatch(received(site), /x-hop|te: trailers/i)
       assert.match(received(site), /x-end: 1/i)
       assert.doesNotMatch(text, /x-answer-hop|timeout=9/i)
@@ -242,8 +242,8 @@
       if (executor.received.includes('\r\n0\r\n\r\n') || executor.received.length > LARGE_BODY.length + 1000) respond('ok')(socket, executor)
     },
     run: async site => {
-      const answer = await fetch(`${site.origin}/services/booking/x`, { method: 'POST', body: LARGE_BODY })
-      assert.equal(await answer.text(), 'ok')
+      const response = await fetch(`${site.origin}/services/booking/x`, { method: 'POST', body: LARGE_BODY })
+      assert.equal(await response.text(), 'ok')
       assert.equal(received(site).split('x'.repeat(1)).length > LARGE_BODY.length, true)
     }
   },
@@ -251,8 +251,8 @@
     name: 'a large body is not sent again once streaming has started, even for an idempotent request',
     onData: socket => socket.destroy(),
     run: async site => {
-      const answer = await fetch(`${site.origin}/services/lookup/x`, { method: 'PUT', body: LARGE_BODY })
-      const { error } = await answer.json() as { error: { verdict: string } }
+      const response = await fetch(`${site.origin}/services/lookup/x`, { method: 'PUT', body: LARGE_BODY })
+      const { error } = await response.json() as { error: { verdict: string } }
       assert.equal(error.verdict, 'mayHaveRun')
       assert.equal(requestCount(site), 1)
     }
@@ -273,7 +273,7 @@
     name: 'a request whose body arrives slowly fails at its deadline',
     onData: respond('ok'),
     run: async site => {
-      const text = await exchangeRaw(site.port, 'POST /services/booking/x HTTP/1.1\r\nhost: h\r\nvanillaturn-deadline-milliseconds: 100\r\ncontent-length: 10\r\n\r\nabc', answer => answer.includes('deadlineExpired'))
+      const text = await exchangeRaw(site.port, 'POST /services/booking/x HTTP/1.1\r\nhost: h\r\nvanillaturn-deadline-milliseconds: 100\r\ncontent-length: 10\r\n\r\nabc', data => data.includes('deadlineExpired'))
       assert.match(text, /"verdict":"notRun"/)
       assert.equal(received(site), '')
     }
@@ -321,11 +321,11 @@
     name: 'a request is forwarded once, with its identity, when its failure domain has no executor',
     onData: respond('ok'),
     run: async (own, other) => {
-      const answer = await fetch(`${own.origin}/services/booking/x?y=1`, { method: 'POST', body: 'b' })
-      assert.equal(await answer.text(), 'ok')
+      const response = await fetch(`${own.origin}/services/booking/x?y=1`, { method: 'POST', body: 'b' })
+      assert.equal(await response.text(), 'ok')
       assert.equal(requestCount(other), 1)
       assert.match(received(other), /^POST \/x\?y=1 /)
-      assert.ok(received(other).includes(`vanillaturn-request: ${answer.headers.get('vanillaturn-request')}`))
+      assert.ok(received(other).includes(`vanillaturn-request: ${response.headers.get('vanillaturn-request')}`))
       assert.doesNotMatch(received(other), /peer-proof|forwarded-from/)
     }
   },
@@ -333,8 +333,8 @@
     name: 'a lost response of the other failure domain does not get the verdict notRun',
     onData: socket => socket.destroy(),
     run: async (own, other) => {
-      const answer = await fetch(`${own.origin}/services/booking/x`, { method: 'POST', body: 'b' })
-      assert.equal((await answer.json() as { error: { verdict: string } }).error.verdict, 'mayHaveRun')
+      const response = await fetch(`${own.origin}/services/booking/x`, { method: 'POST', body: 'b' })
+      assert.equal((await response.json() as { error: { verdict: string } }).error.verdict, 'mayHaveRun')
       assert.equal(requestCount(other), 1)
     }
   },
@@ -343,8 +343,8 @@
     onData: respond('ok'),
     run: async (own, other) => {
       other.requestDispatcher.stopAccepting()
-      const answer = await fetch(`${own.origin}/services/booking/x`, { method: 'POST', body: 'b' })
-      assert.deepEqual((await answer.json() as { error: { code: string, verdict: string } }).error.verdict, 'notRun')
+      const response = await fetch(`${own.origin}/services/booking/x`, { method: 'POST', body: 'b' })
+      assert.deepEqual((await response.json() as { error: { code: string, verdict: string } }).error.verdict, 'notRun')
     }
   },
   {
@@ -355,8 +355,8 @@
       const headers = { 'vanillaturn-forwarded-from': 'someone', 'vanillaturn-request': 'r1', [PEER_PROOF_HEADER]: createPeerProof(LINK_KEY, request, Date.now()) }
       const codes: string[] = []
       for (const sent of [headers, headers, { ...headers, [PEER_PROOF_HEADER]: createPeerProof('another key of 16', request, Date.now()) }]) {
-        const answer = await fetch(`${own.origin}/services/booking/x`, { method: 'POST', body: 'b', headers: sent })
-        codes.push((await answer.json() as { error: { code: string } }).error.code)
+        const response = await fetch(`${own.origin}/services/booking/x`, { method: 'POST', body: 'b', headers: sent })
+        codes.push((await response.json() as { error: { code: string } }).error.code)
       }
       assert.deepEqual(codes, ['noExecutor', 'unauthorized', 'unauthorized'])
     }
--- a/test/entry/configurationTask.test.ts
+++ b/test/entry/configurationTask.test.ts
@@ -20,7 +20,7 @@
 const CHANGES_PER_SECOND = 6000 / 86_400
 const packer = new Packr({ useRecords: false })
 
-function text (site: string, padding = 0): string {
+function configurationSource (site: string, padding = 0): string {
   return JSON.stringify({ site, failureDomains: { 'zone-a': { region: 'north' } }, services: {}, executorPools: {}, workerPools: {}, teams: {} }) + ' '.repeat(padding)
 }
 
@@ -113,10 +113,10 @@
       const [reader, border, inner] = [network.add('a-1', false), network.add('b-1', true), network.add('b-2', true)]
       network.link(reader, border)
       network.link(border, inner)
-      network.publish(0, text('one'))
+      network.publish(0, configurationSource('one'))
       await advance(IN_FORCE_BOUND_MILLISECONDS)
       assert.deepEqual([reader, border, inner].map(node => node.revision), [1, 1, 1])
-      network.publish(1, text('two'))
+      network.publish(1, configurationSource('two'))
       await advance(IN_FORCE_BOUND_MILLISECONDS)
       assert.deepEqual([reader, border, inner].map(node => node.revision), [2, 2, 2])
     })
@@ -125,14 +125,14 @@
   it('delivers the configuration from a peer to an instance that is cut off at its start, and an older one does not replace it', async () => {
     await withNetwork(async (network, advance) => {
       const reader = network.add('a-1', false)
-      network.publish(0, text('one'))
-      network.publish(1, text('two'))
+      network.publish(0, configurationSource('one'))
+      network.publish(1, configurationSource('two'))
       await advance(1000)
       const starter = network.add('a-2', true)
       network.link(reader, starter)
       await advance(IN_FORCE_BOUND_MILLISECONDS)
       assert.equal(starter.revision, 2)
-      starter.didReceive.fire({ from: reader.identity, message: { type: 'configurationText', logicalTime: 0, revision: 1, text: text('one') } })
+      starter.didReceive.fire({ from: reader.identity, message: { type: 'configurationText', logicalTime: 0, revision: 1, text: configurationSource('one') } })
       await advance(1000)
       assert.equal(starter.revision, 2)
     })
@@ -143,7 +143,7 @@
       const starter = network.add('a-2', true)
       const from: PeerIdentity = { instance: 'a-1', incarnation: 'a-1', failureDomain: 'zone-a' }
       starter.didReceive.fire({ from, message: { type: 'configurationAnnouncement', logicalTime: 0, revision: 1, digest: 'other' } })
-      starter.didReceive.fire({ from, message: { type: 'configurationText', logicalTime: 0, revision: 1, text: text('one') } })
+      starter.didReceive.fire({ from, message: { type: 'configurationText', logicalTime: 0, revision: 1, text: configurationSource('one') } })
       await advance(1000)
       assert.equal(starter.revision, 0)
     })
@@ -155,7 +155,7 @@
       await withNetwork(async (network, advance) => {
         const nodes = Array.from({ length: 9 }, (_, index) => network.add(`a-${index}`, false))
         nodes.forEach((left, index) => { for (const right of nodes.slice(index + 1)) network.link(left, right) })
-        const source = text('one', kilobytes * 1000)
+        const source = configurationSource('one', kilobytes * 1000)
         network.publish(0, source)
         await advance(IN_FORCE_BOUND_MILLISECONDS)
         const announcements = 9 * 8
--- a/test/entry/entryInstance.test.ts
+++ b/test/entry/entryInstance.test.ts
@@ -10,7 +10,7 @@
 import { RawCaller, untilTrue } from '../fakes/rawCaller.js'
 
 const SITE = fileURLToPath(new URL('../../../examples/small/site.jsonc', import.meta.url))
-const OPERATOR_TOKEN = 'planned-stop-operator-token'
+const OPERATOR_TOKEN = 'graceful-shutdown-operator-token'
 /** Long enough that a request is still running when the shutdown starts. */
 const SERVICE_MILLISECONDS = 400
 const BACKLOG = 20
@@ -62,7 +62,7 @@
     }, () => {})
     await standin.start()
     instance = createEntryInstance({
-      instance: 'gent-a-1', failureDomain: 'gent-a', region: 'be-vl', callers: { host: '127.0.0.1', port: 0 }, links: { host: '127.0.0.1', port: 0 }, platformAddress: standin.platform.address, linkKeys: ['planned-stop-link-key'], operatorTokens: [OPERATOR_TOKEN], logLevel: 'error', stopBoundMilliseconds: 20_000
+      instance: 'gent-a-1', failureDomain: 'gent-a', region: 'be-vl', callers: { host: '127.0.0.1', port: 0 }, links: { host: '127.0.0.1', port: 0 }, platformAddress: standin.platform.address, linkKeys: ['graceful-shutdown-link-key'], operatorTokens: [OPERATOR_TOKEN], logLevel: 'error', stopBoundMilliseconds: 20_000
     }, () => {})
     const { callers: port } = await instance.start()
     standin.addInstance({ kind: 'entry', name: 'gent-a-1', failureDomain: 'gent-a', address: 'ws://127.0.0.1:1', callerAddress: `http://127.0.0.1:${port}`, state: 'live' })
--- a/test/entry/jobTask.test.ts
+++ b/test/entry/jobTask.test.ts
@@ -39,7 +39,7 @@
   }
 }
 
-const TEXT = JSON.stringify({
+const CONFIGURATION_SOURCE = JSON.stringify({
   site: 'one',
   failureDomains: { 'zone-a': { region: 'north' } },
   services: {},
@@ -63,7 +63,7 @@
     it(name, async () => {
       const timers = install({ now: 0, toFake: ['setTimeout', 'clearTimeout', 'Date', 'performance'] })
       try {
-        const checked = checkSiteConfiguration('text', TEXT)
+        const checked = checkSiteConfiguration('text', CONFIGURATION_SOURCE)
         assert.equal(checked.kind, 'valid', JSON.stringify(checked))
         const logger = new Logger('entry', 'error', () => {})
         const context = { settings: { failureDomain: 'zone-a' }, events: new EventLog('entry', 'one', new LogicalClock(), () => {}), logger } as unknown as EntryContext
--- a/test/entry/ownershipTask.test.ts
+++ b/test/entry/ownershipTask.test.ts
@@ -31,7 +31,7 @@
     })
   }
 
-  // Abandoned renewals shifted every later confirmation, so that the holder of the term never acted as owner again.
+  // Abandoned renewals shifted every later confirmation, so that the owner of the term never acted as owner again.
   for (const milliseconds of PARTITION_MILLISECONDS) {
     it(`a successor that is cut off from the log for ${milliseconds} ms acts as owner afterwards`, async () => {
       await verifySite({ seed: 0 }, async site => {
--- a/test/entry/retentionTask.test.ts
+++ b/test/entry/retentionTask.test.ts
@@ -62,12 +62,12 @@
   for (let turn = 0; turn < 10; turn += 1) await nextTurn()
 }
 
-function text (site: string): string {
+function configurationSource (site: string): string {
   return JSON.stringify({ site, failureDomains: { [DOMAIN]: { region: 'north' } }, services: {}, executorPools: {}, workerPools: {}, teams: {} })
 }
 
 function published (baseRevision: number, site: string): RecordBody {
-  return { type: 'configurationPublished', baseRevision, text: text(site), publisher: 'operator' }
+  return { type: 'configurationPublished', baseRevision, text: configurationSource(site), publisher: 'operator' }
 }
 
 /** State that an instance rebuilds from the log. */
