--- a/src/entry/callerServer.ts
+++ b/src/entry/callerServer.ts
@@ -97,7 +97,7 @@
   private async serveIdentified (event: H3Event, identity: string, forwardedFrom: string | null): Promise<Response> {
     if (this.requestDispatcher.isStopping) return errorResponse(STOPPING_ERROR)
     const serviceName = event.context.params?.service ?? ''
-    const service = this.configuration.inForce?.text.services[serviceName]
+    const service = this.configuration.inForce?.configuration.services[serviceName]
     if (this.configuration.inForce !== undefined && service === undefined) {
       return errorResponse({ code: 'unknownService', verdict: 'notRun', message: `there is no service '${serviceName}'` })
     }
@@ -149,7 +149,7 @@
   }
 
   private bodyLimit (): number {
-    return this.configuration.inForce?.text.limits.requestBodyBytes ?? DEFAULT_BODY_LIMIT_BYTES
+    return this.configuration.inForce?.configuration.limits.requestBodyBytes ?? DEFAULT_BODY_LIMIT_BYTES
   }
 }
 
--- a/src/entry/idempotencyKeyTask.ts
+++ b/src/entry/idempotencyKeyTask.ts
@@ -156,7 +156,7 @@
   }
 
   private homeOf (key: string): string | undefined {
-    return homeFailureDomain(key, Object.keys(this.configuration.inForce?.text.failureDomains ?? {}), this.hash)
+    return homeFailureDomain(key, Object.keys(this.configuration.inForce?.configuration.failureDomains ?? {}), this.hash)
   }
 
   private selectAddress (failureDomain: string): string | undefined {
@@ -180,7 +180,7 @@
   }
 
   private windowMilliseconds (): number {
-    return this.configuration.inForce?.text.limits.idempotencyWindowMilliseconds ?? DEFAULT_WINDOW_MILLISECONDS
+    return this.configuration.inForce?.configuration.limits.idempotencyWindowMilliseconds ?? DEFAULT_WINDOW_MILLISECONDS
   }
 }
 
--- a/src/entry/jobTask.ts
+++ b/src/entry/jobTask.ts
@@ -49,7 +49,7 @@
 
   /** Accepts a job once it is in the log. Submissions of a team with the same idempotency key result in the same job. */
   async submit (submission: JobSubmission, idempotencyKey: string | undefined): Promise<JobRequestResult> {
-    const text = this.configuration.inForce?.text
+    const text = this.configuration.inForce?.configuration
     if (text === undefined) return failure({ code: 'notReady', verdict: 'notRun', message: 'no configuration is in force yet', retryAfterSeconds: 1 })
     const problem = validateSubmission(submission, text)
     if (problem !== undefined) return failure(problem)
@@ -71,7 +71,7 @@
   /** Records a request to cancel a job of any failure domain. */
   async cancel (identity: string): Promise<JobRequestResult> {
     const failureDomain = failureDomainOf(identity)
-    if (failureDomain === undefined || this.configuration.inForce?.text.failureDomains[failureDomain] === undefined) {
+    if (failureDomain === undefined || this.configuration.inForce?.configuration.failureDomains[failureDomain] === undefined) {
       return failure({ code: 'unknownJob', verdict: 'notRun', message: `there is no job '${identity}'` })
     }
     const outcome = await this.append(failureDomain, { type: 'jobCancelRequested', job: identity }, `cancel:${identity}`)
--- a/src/entry/operatorApi.ts
+++ b/src/entry/operatorApi.ts
@@ -69,7 +69,7 @@
       instanceListAgeMilliseconds: Number.isFinite(listAge) ? Math.round(listAge) : null,
       used: utilization?.used,
       capacity: utilization?.capacity,
-      allowedCapacityPercent: this.configuration.inForce?.text.failureDomains[failureDomain]?.allowedCapacityPercent
+      allowedCapacityPercent: this.configuration.inForce?.configuration.failureDomains[failureDomain]?.allowedCapacityPercent
     })
   }
 
--- a/src/entry/placementTask.ts
+++ b/src/entry/placementTask.ts
@@ -123,7 +123,7 @@
 
   private onTick (now: number): void {
     const { scheduler } = this
-    const text = this.configuration.inForce?.text
+    const text = this.configuration.inForce?.configuration
     if (scheduler === undefined || text === undefined || !this.ownership.isOwner()) return
     const listed = this.membership.workers(this.context.settings.failureDomain).flatMap(worker => {
       const pool = text.workerPools[worker.pool]
--- a/src/entry/requestDispatcher.ts
+++ b/src/entry/requestDispatcher.ts
@@ -118,7 +118,7 @@
 
   /** Serves a request. Resolves with a response, whose body may still be streaming, or with an error; never rejects. */
   async serve (request: CallerRequest): Promise<ServingResult> {
-    const text = this.configuration.inForce?.text
+    const text = this.configuration.inForce?.configuration
     const service = text?.services[request.service]
     if (this.stopping) return refuse(request, STOPPING_ERROR)
     if (text === undefined) return refuse(request, { code: 'notReady', verdict: 'notRun', message: 'no configuration is in force yet', retryAfterSeconds: 1 })
@@ -165,7 +165,7 @@
 
   /** Forwards a request that no executor of this failure domain can serve. Returns false if no peer is available or the body cannot be sent. */
   private forward (pending: PendingRequest): boolean {
-    const text = this.configuration.inForce?.text
+    const text = this.configuration.inForce?.configuration
     const peer = text === undefined ? undefined : this.forwarder.selectTarget(pending, text)
     if (peer === undefined || !pending.request.body.canBeSent) return false
     pending.tried.add(peer.name)
--- a/src/entry/retentionTask.ts
+++ b/src/entry/retentionTask.ts
@@ -67,7 +67,7 @@
     const position = this.configurationPosition
     const restatement = this.configuration.restatement()
     if (restatement === undefined) return
-    const domains = Object.keys(this.configuration.inForce?.text.failureDomains ?? {}).sort()
+    const domains = Object.keys(this.configuration.inForce?.configuration.failureDomains ?? {}).sort()
     const share = domains[0] === this.context.settings.failureDomain ? REAPPEND_SHARE : FALLBACK_REAPPEND_SHARE
     if (!isReappendDue(position, this.retentionOf(this.configurationFollower), share, monotonicNow())) return
     await this.appender.append(restatement, APPEND_TIMEOUT_MILLISECONDS)
--- a/src/entry/slotTask.ts
+++ b/src/entry/slotTask.ts
@@ -57,7 +57,7 @@
       if (message.type === 'slotGrants') this.post({ kind: 'grants', from: from.instance, grants: message })
     }))
     // Instances that are not owner track lowered run times as well, because they may become owner.
-    this.register(configuration.onDidChangeRevision(({ text }) => {
+    this.register(configuration.onDidChangeRevision(({ configuration: text }) => {
       for (const pool of Object.keys(text.executorPools)) this.runTimeBounds.update(pool, maximumRunMilliseconds(text, pool), monotonicNow())
     }))
     this.registerInterval(() => this.post({ kind: 'tick' }), REPORT_INTERVAL_MILLISECONDS)
@@ -134,7 +134,7 @@
   }
 
   private onReport (instance: string, holder: string, report: LinkMessageOf<'slotReport'>): void {
-    const text = this.configuration.inForce?.text
+    const text = this.configuration.inForce?.configuration
     if (this.allocator === undefined || text === undefined || report.term !== this.allocatorTerm || !this.mayGrant()) return
     this.allocator.setExecutors(executorLimits(text, this.membership, this.context.settings.failureDomain, this.runTimeBounds, monotonicNow()))
     this.instanceOfHolder.set(holder, instance)
--- a/src/zones/configurationHistory.ts
+++ b/src/zones/configurationHistory.ts
@@ -6,7 +6,7 @@
 export interface ConfigurationRevision {
   readonly revision: number
   readonly source: string
-  readonly text: SiteConfiguration
+  readonly configuration: SiteConfiguration
 }
 
 /** Outcome of a publish record. */
@@ -88,7 +88,7 @@
     if (checked.kind === 'invalid') return { kind: 'invalid', reason: checked.findings.map(formatFinding).join('; ') }
     this.decided += 1
     this.decidedBy = body.publisher
-    this.activate({ revision: this.decided, source: body.text, text: checked.configuration })
+    this.activate({ revision: this.decided, source: body.text, configuration: checked.configuration })
     return { kind: 'accepted', revision: this.decided }
   }
 
@@ -97,7 +97,7 @@
     if (revision <= (this.current?.revision ?? 0)) return false
     const checked = checkSiteConfiguration('relayed text', source)
     if (checked.kind === 'invalid') return false
-    this.activate({ revision, source, text: checked.configuration })
+    this.activate({ revision, source, configuration: checked.configuration })
     return true
   }
 
--- a/test/entry/callerServer.test.ts
+++ b/test/entry/callerServer.test.ts
@@ -93,7 +93,7 @@
     settings: { failureDomain, instance: `i-${failureDomain}`, linkKeys: [LINK_KEY] }, incarnation: '1', logger: new Logger('i', 'error', sink), events: new EventLog('i', '1', new LogicalClock(), sink), random: new Random(1)
   } as unknown as EntryContext
   const text = siteText()
-  const configuration = { inForce: { revision: 1, text } } as unknown as ConfigurationTask
+  const configuration = { inForce: { revision: 1, configuration: text } } as unknown as ConfigurationTask
   const membership = new Membership()
   membership.update([
     ...executors.map((executor, index) => ({ kind: 'executor' as const, name: `e${index}`, failureDomain: 'zone', pool: 'pool', address: executor.address, state: 'live' as const })),
--- a/test/entry/idempotencyKeyTask.test.ts
+++ b/test/entry/idempotencyKeyTask.test.ts
@@ -52,7 +52,7 @@
 
 function createSite (stream = new FakeStream()): Site {
   const context = { settings: { failureDomain: 'zone', instance: 'i', linkKeys: ['0123456789abcdef'] }, random: new Random(1) } as unknown as EntryContext
-  const configuration = { inForce: { text: { failureDomains: { zone: {} }, limits: { idempotencyWindowMilliseconds: 600_000 } } } } as unknown as ConfigurationTask
+  const configuration = { inForce: { configuration: { failureDomains: { zone: {} }, limits: { idempotencyWindowMilliseconds: 600_000 } } } } as unknown as ConfigurationTask
   const site = { stream, owner: true } as { stream: FakeStream, owner: boolean, task: IdempotencyKeyTask }
   const ownership = { isOwner: () => site.owner, owner: { instance: 'i', incarnation: '1' } } as unknown as OwnershipTask
   const createAppender = (): LogAppender => ({ append: (body: RecordBody, _timeout: number, identity: string) => stream.append(body, identity), dispose: () => {} }) as unknown as LogAppender
--- a/test/entry/jobTask.test.ts
+++ b/test/entry/jobTask.test.ts
@@ -70,7 +70,7 @@
         const read = new Emitter<StoredRecord>()
         const readIdentity = new Emitter<string>()
         const follower = { stream: 'jobs.zone-a', onDidReadRecord: read.event, onDidReadIdentity: readIdentity.event } as unknown as LogFollower
-        const configuration = { inForce: { revision: 1, text: checked.kind === 'valid' ? checked.configuration : undefined } } as unknown as ConfigurationTask
+        const configuration = { inForce: { revision: 1, configuration: checked.kind === 'valid' ? checked.configuration : undefined } } as unknown as ConfigurationTask
         const log = new ScriptedLog(behaviors)
         const jobs = new JobTask(context, configuration, follower, stream => new LogAppender(stream, 'entry', log, new LogicalClock(), logger, new Random(1)))
         const submitted = jobs.submit({ name: 'one', team: 'one', kind: 'batch', urgency: 'normal', tasks: 1, resources: { processorsThousandths: 1, memoryBytes: 1, accelerators: 0 }, checkpointable: false }, 'key')
--- a/test/entry/retentionTask.test.ts
+++ b/test/entry/retentionTask.test.ts
@@ -124,10 +124,10 @@
     assert.deepEqual(late.jobs.registry.openJobs().map(registered => [registered.job.identity, registered.cancelRequested]), [['open', true]])
     // Finished tasks that the later instance did not know would run again.
     assert.deepEqual([...late.jobs.registry.find('open')?.finished ?? []], [0, 1, 3])
-    assert.equal(late.configuration.inForce?.text.site, 'two')
+    assert.equal(late.configuration.inForce?.configuration.site, 'two')
     assert.equal(late.configuration.inForce?.revision, 2)
     await log.write(CONFIGURATION_STREAM, 'three', published(2, 'three'))
-    assert.deepEqual([owner, late].map(reader => reader.configuration.inForce?.text.site), ['three', 'three'])
+    assert.deepEqual([owner, late].map(reader => reader.configuration.inForce?.configuration.site), ['three', 'three'])
   })
 
   it('skips and counts a record of a newer schema version', async () => {
@@ -135,7 +135,7 @@
     const reader = new Reader(log, false)
     await log.write(CONFIGURATION_STREAM, 'newer', published(0, 'one'), RECORD_SCHEMA_VERSION + 1)
     await log.write(CONFIGURATION_STREAM, 'known', published(0, 'two'))
-    assert.deepEqual([reader.configuration.inForce?.text.site, reader.followers[1]?.newerRecords], ['two', 1])
+    assert.deepEqual([reader.configuration.inForce?.configuration.site, reader.followers[1]?.newerRecords], ['two', 1])
     reader.dispose()
   })
 })
--- a/test/zones/configurationHistory.test.ts
+++ b/test/zones/configurationHistory.test.ts
@@ -37,7 +37,7 @@
       const history = new ConfigurationHistory(truncated)
       records.forEach((body, offset) => history.apply(stored(offset, body)))
       assert.equal(history.inForce?.revision ?? 0, revision)
-      assert.equal(history.inForce?.text.site, site)
+      assert.equal(history.inForce?.configuration.site, site)
     })
   }
 
@@ -57,6 +57,6 @@
     history.apply(stored(6, restated(1, 'one', 4)))
     assert.deepEqual([history.inForce?.revision, history.restatement()], [1, undefined])
     history.apply(stored(7, restated(2, 'two', 5)))
-    assert.deepEqual([history.inForce?.text.site, history.restatement()?.throughOffset], ['two', 8])
+    assert.deepEqual([history.inForce?.configuration.site, history.restatement()?.throughOffset], ['two', 8])
   })
 })
