--- a/test/zones/configurationHistory.test.ts
+++ b/test/zones/configurationHistory.test.ts
@@ -3,7 +3,7 @@
 import type { RecordBody, StoredRecord } from '../../src/contracts/records.js'
 import { ConfigurationHistory } from '../../src/zones/configurationHistory.js'
 
-function siteText (site: string): string {
+function configurationSource (site: string): string {
   return JSON.stringify({ site, failureDomains: { 'zone-a': { region: 'north' } }, services: {}, executorPools: {}, workerPools: {}, teams: {} })
 }
 
@@ -12,11 +12,11 @@
 }
 
 function published (baseRevision: number, site: string): RecordBody {
-  return { type: 'configurationPublished', baseRevision, text: siteText(site), publisher: site }
+  return { type: 'configurationPublished', baseRevision, text: configurationSource(site), publisher: site }
 }
 
 function restated (revision: number, site: string, throughOffset: number): RecordBody {
-  return { type: 'configurationRestated', revision, text: siteText(site), throughOffset }
+  return { type: 'configurationRestated', revision, text: configurationSource(site), throughOffset }
 }
 
 /** Each case guards against a lost or reverted configuration after the given records. */
@@ -24,7 +24,7 @@
   { name: 'consecutive publishes are accepted', records: [published(0, 'one'), published(1, 'two')], revision: 2, site: 'two' },
   { name: 'the second of two concurrent publishes loses', records: [published(0, 'one'), published(0, 'two')], revision: 1, site: 'one' },
   { name: 'an invalid configuration is not accepted', records: [published(0, 'one'), { type: 'configurationPublished', baseRevision: 1, text: '{}', publisher: 'x' }], revision: 1, site: 'one' },
-  { name: 'an older restatement does not revert the configuration', records: [published(0, 'one'), published(1, 'two'), { type: 'configurationRestated', revision: 1, text: siteText('one'), throughOffset: 1 }], revision: 2, site: 'two' },
+  { name: 'an older restatement does not revert the configuration', records: [published(0, 'one'), published(1, 'two'), { type: 'configurationRestated', revision: 1, text: configurationSource('one'), throughOffset: 1 }], revision: 2, site: 'two' },
   { name: 'after truncation a publish is undecided', truncated: true, records: [published(4, 'five')], revision: 0, site: undefined },
   { name: 'after truncation a restatement is the base', truncated: true, records: [restated(4, 'four', 0), published(4, 'five')], revision: 5, site: 'five' },
   { name: 'after truncation publishes that the restatement does not cover are decided', truncated: true, records: [published(4, 'five'), restated(4, 'four', 0)], revision: 5, site: 'five' },
@@ -43,10 +43,10 @@
 
   it('keeps a greater revision learned from a peer while older records are read', () => {
     const history = new ConfigurationHistory()
-    assert.equal(history.learn(3, siteText('three')), true)
+    assert.equal(history.learn(3, configurationSource('three')), true)
     history.apply(stored(0, published(0, 'one')))
     assert.equal(history.inForce?.revision, 3)
-    assert.equal(history.learn(2, siteText('two')), false)
+    assert.equal(history.learn(2, configurationSource('two')), false)
   })
 
   it('a reader that lags behind the retention waits for a restatement after the gap', () => {
