--- a/src/scheduling/workerHealth.ts
+++ b/src/scheduling/workerHealth.ts
@@ -34,7 +34,7 @@
  */
 export class WorkerHealth {
   private readonly health = new Map<WorkerEntry, Health>()
-  private readonly jobsFailedOn = new Map<JobEntry, Set<WorkerEntry>>()
+  private readonly workersByFailedJob = new Map<JobEntry, Set<WorkerEntry>>()
 
   /** Returns whether a task of the job may be started on the worker. */
   accepts (entry: WorkerEntry, job: JobEntry, now: number): boolean {
@@ -59,8 +59,8 @@
   }
 
   onFailed (entry: WorkerEntry, task: TaskEntry, now: number): HealthChange | undefined {
-    const failedOn = this.jobsFailedOn.get(task.job) ?? new Set()
-    this.jobsFailedOn.set(task.job, failedOn.add(entry))
+    const failedOn = this.workersByFailedJob.get(task.job) ?? new Set()
+    this.workersByFailedJob.set(task.job, failedOn.add(entry))
     const health = this.health.get(entry) ?? { failed: [], quarantinedUntil: undefined, quarantines: 0, releasedAt: -Infinity }
     this.health.set(entry, health)
     if (health.quarantinedUntil !== undefined) {
@@ -69,7 +69,7 @@
       return undefined
     }
     health.failed.push(task)
-    const countedFailures = health.failed.filter(({ job }) => (this.jobsFailedOn.get(job)?.size ?? 0) < WORKERS_BEFORE_JOB_SUSPECTED)
+    const countedFailures = health.failed.filter(({ job }) => (this.workersByFailedJob.get(job)?.size ?? 0) < WORKERS_BEFORE_JOB_SUSPECTED)
     const jobs = new Set(countedFailures.map(({ job }) => job))
     if (countedFailures.length < FAILURES_BEFORE_QUARANTINE || jobs.size < JOBS_BEFORE_QUARANTINE) return undefined
     if (now - health.releasedAt > QUARANTINE_HISTORY_MILLISECONDS) health.quarantines = 0
@@ -80,7 +80,7 @@
   }
 
   forgetJob (job: JobEntry): void {
-    this.jobsFailedOn.delete(job)
+    this.workersByFailedJob.delete(job)
   }
 
   forgetWorker (entry: WorkerEntry): void {
