--- a/test/requests/slotAllocator.test.ts
+++ b/test/requests/slotAllocator.test.ts
@@ -282,7 +282,7 @@
   }
 })
 
-interface Running { readonly owner: Instance, readonly endsAt: number }
+interface Running { readonly instance: Instance, readonly endsAt: number }
 interface Message { readonly at: number, readonly deliver: () => void }
 
 /** Drives holders and successive owners at random and checks the actual number of running requests. */
@@ -314,7 +314,7 @@
     const due = messages.filter(message => message.at <= now)
     messages = messages.filter(message => message.at > now)
     for (const message of due) message.deliver()
-    for (const run of running.filter(run => run.endsAt <= now)) run.owner.holder.release('x')
+    for (const run of running.filter(run => run.endsAt <= now)) run.instance.holder.release('x')
     running = running.filter(run => run.endsAt > now)
     for (const instance of instances) {
       if (random.fraction() < 0.0003) pausedUntil.set(instance, now + random.integerBelow(20_000))
@@ -333,7 +333,7 @@
       }
       if (random.fraction() < 0.3 && instance.holder.acquire('x', now)) {
         started += 1
-        running.push({ owner: instance, endsAt: now + random.integerBelow(MAXIMUM_RUN) })
+        running.push({ instance: instance, endsAt: now + random.integerBelow(MAXIMUM_RUN) })
       }
     }
     assert.ok(running.length <= LIMITS.slots, `${running.length} requests run at ${now}, seed ${seed}`)
