--- a/src/requests/poolBalancer.ts
+++ b/src/requests/poolBalancer.ts
@@ -53,7 +53,7 @@
 
   /**
    * Returns the slots to revoke for holders that need more, less the `pending` ones, which have been revoked already. The
-   * holder with the greatest surplus over its entitlement gives up a slot first, on the executor where it has the most idle.
+   * holder with the greatest surplus over its entitlement loses a slot first, on the executor where it has the most idle.
    */
   revocations (pending: number): Array<{ holder: string, executor: string }> {
     let shortfall = -pending
@@ -96,7 +96,7 @@
   }
 }
 
-/** Returns how many more slots a holder should get. One without waiting requests gets its entitlement only if it is far below it. */
+/** Returns how many more slots a holder should get. A holder without waiting requests is raised to its entitlement only if it is far below it, so that it has slots for later requests. */
 function shortfallOf (share: HolderShare): number {
   const missing = Math.max(0, share.entitled - share.granted)
   if (share.unmet > 0) return Math.min(share.unmet, missing)
--- a/src/requests/poolDispatcher.ts
+++ b/src/requests/poolDispatcher.ts
@@ -23,7 +23,7 @@
 
 export interface Admission<T> {
   readonly refusal: Refusal | undefined
-  /** A less urgent request that was evicted from the full queue and must be answered at once. */
+  /** A less urgent request that was evicted from the full queue; its caller must receive a response at once. */
   readonly evicted: T | undefined
 }
 
@@ -109,7 +109,7 @@
     return this.queue.takeExpired(now)
   }
 
-  /** Expected time until a request that arrives now is answered; 0 while no service rate is known. */
+  /** Returns the expected response time of a request that arrives now; 0 while no service rate is known. */
   expectedResponseMilliseconds (urgency: Urgency, now: number): number {
     let rate = 0
     let fastest = Infinity
--- a/src/requests/slotAllocator.ts
+++ b/src/requests/slotAllocator.ts
@@ -21,7 +21,7 @@
   readonly grants: SlotGrant[]
 }
 
-/** Validity of a grant, which its holder counts from the time at which it started the report that the grant answers. */
+/** Validity of a grant, which its holder counts from the time at which it started the report to which the grant responds. */
 export const GRANT_VALID_MILLISECONDS = 10_000
 /** Margin that the owner adds when it waits for a grant to expire: 1 % clock drift over a grant, and scheduling delay. */
 export const GRANT_DRIFT_MARGIN_MILLISECONDS = 500
--- a/src/requests/slotHolder.ts
+++ b/src/requests/slotHolder.ts
@@ -68,7 +68,7 @@
     return { sequence: this.reportSequence, uses }
   }
 
-  /** Applies grants. Returns false if they answer an unknown report, are not newer than the applied ones, or arrive after `returnAll`. */
+  /** Applies grants. Returns false if they respond to an unknown report, are not newer than the applied ones, or arrive after `returnAll`. */
   applyGrants (message: ReceivedGrants): boolean {
     const reportedAt = this.reportTimes.get(message.answersReport)
     if (reportedAt === undefined || message.sequence <= this.lastAppliedSequence || this.hasReturnedAll) return false
@@ -99,7 +99,7 @@
     this.lastAppliedSequence = -1
   }
 
-  /** Returns all grants for good, on a planned stop. Requests in flight are still reported until they have ended. */
+  /** Returns all grants for good, on a graceful shutdown. Requests in flight are still reported until they have ended. */
   returnAll (): void {
     this.hasReturnedAll = true
     for (const slots of this.held.values()) {
--- a/src/zones/configurationHistory.ts
+++ b/src/zones/configurationHistory.ts
@@ -46,7 +46,7 @@
     return this.decided
   }
 
-  /** Marks records before `retainedFrom` as truncated unread. */
+  /** Registers a gap in the stream: records before `retainedFrom` were truncated before they were read. */
   markTruncated (retainedFrom: number): void {
     this.gapEnd = retainedFrom
     this.undecided = []
@@ -71,7 +71,7 @@
     return { kind: 'undecided' }
   }
 
-  /** Applies a restated configuration. It matters only to a reader with a gap, and only if no record after it is missing. */
+  /** Applies a restated configuration. It takes effect only for a reader with a gap, and only if no record after it is missing. */
   private applyRestated (body: Extract<RecordBody, { type: 'configurationRestated' }>, writer: string): void {
     if (this.gapEnd === undefined || body.throughOffset < this.gapEnd) return
     this.decided = body.revision
--- a/src/zones/ownership.ts
+++ b/src/zones/ownership.ts
@@ -72,7 +72,7 @@
   private owner: InstanceIdentity | undefined
   private released = true
   private electors: readonly InstanceIdentity[] = []
-  /** First retained offset while older records were truncated unread and no record has restated the ownership yet; otherwise undefined. */
+  /** First retained offset if older records were truncated before they were read and no later record has restated the ownership; otherwise undefined. */
   private stateUnknownFrom: number | undefined
   private readonly joined = new Map<string, Member>()
   private ownerLastSeenAt = -Infinity
@@ -116,7 +116,7 @@
     return [...this.joined.values()].map(member => member.identity)
   }
 
-  /** Marks records before `retainedFrom` as truncated unread. Until a renewal or release restates the ownership, this instance neither acts as owner nor claims. */
+  /** Registers a gap in the stream: records before `retainedFrom` were truncated before they were read. Until a renewal or release restates the ownership, this instance neither acts as owner nor claims. */
   markTruncated (retainedFrom: number): void {
     this.stateUnknownFrom = retainedFrom
   }
@@ -176,7 +176,7 @@
     return this.tickAsElector(now, view)
   }
 
-  /** Resigns on a planned stop and returns the record that releases ownership, or undefined if not owner. Outstanding renewals and promises no longer extend the lease. */
+  /** Resigns on a graceful shutdown and returns the record that releases ownership, or undefined if not owner. Outstanding renewals and promises no longer extend the lease. */
   release (): RecordBody | undefined {
     if (!this.holdsTerm() || this.resigned) return undefined
     this.resigned = true
--- a/src/zones/retention.ts
+++ b/src/zones/retention.ts
@@ -1,4 +1,4 @@
-/** Retention of a stream: what the settings promise and what the last read has shown. */
+/** Retention of a stream, as configured and as observed at the last read. */
 export interface Retention {
   /** Number of records that the stream keeps according to the settings. */
   readonly records: number
--- a/test/requests/slotAllocator.test.ts
+++ b/test/requests/slotAllocator.test.ts
@@ -229,7 +229,7 @@
     }
   },
   {
-    name: 'a planned stop returns slots at once, except for those in flight',
+    name: 'a graceful shutdown returns slots at once, except for those in flight',
     run: () => {
       const { allocator, instances } = createSite(2)
       const [first, leaving] = [instanceAt(instances, 0), instanceAt(instances, 1)]
@@ -333,7 +333,7 @@
       }
       if (random.fraction() < 0.3 && instance.holder.acquire('x', now)) {
         started += 1
-        running.push({ instance: instance, endsAt: now + random.integerBelow(MAXIMUM_RUN) })
+        running.push({ instance, endsAt: now + random.integerBelow(MAXIMUM_RUN) })
       }
     }
     assert.ok(running.length <= LIMITS.slots, `${running.length} requests run at ${now}, seed ${seed}`)
