--- a/src/scheduling/workerIndex.ts
+++ b/src/scheduling/workerIndex.ts
@@ -15,7 +15,7 @@
 /** Workers of one cell that are tried before the search moves on; the rest of the cell is tried only if nothing else fits. */
 const TRIES_PER_CELL = 32
 
-/** Index of workers by classes of free accelerators, processors and memory. Updating a worker takes constant time. */
+/** Index of workers by classes of free accelerators (layers), processors (rows) and memory (columns). Updating a worker takes constant time. */
 export class WorkerIndex {
   private readonly cells: Array<WorkerEntry[] | undefined> = Array.from({ length: ACCELERATOR_CLASSES * PROCESSOR_CLASSES * MEMORY_CLASSES })
   /** Bitmap of the memory classes that contain workers, by accelerator and processor class. */
--- a/test/scheduling/interleavings.test.ts
+++ b/test/scheduling/interleavings.test.ts
@@ -12,7 +12,7 @@
 const LEASE_MILLISECONDS = 30_000
 const CALL_TIMEOUT_MILLISECONDS = 2000
 const STEP_MILLISECONDS = 250
-/** Time after a takeover by which tasks on silent workers must have ended: 4500 ms, the lease and its margin. */
+/** Time after a takeover by which tasks on silent workers must have ended: the ownership lease and its margin (4500 ms), then the task lease and its margin (1000 ms). */
 const TAKEOVER_BOUND_MILLISECONDS = 4500 + LEASE_MILLISECONDS + 1000
 
 interface FakeTask { reported: ReportedTask, leaseUntil: number, endsAt: number }
--- a/test/scheduling/taskLedger.test.ts
+++ b/test/scheduling/taskLedger.test.ts
@@ -139,7 +139,7 @@
     site.report('w1', [['a#0', site.started[0] as Attempt, 'stopped']])
     assert.deepEqual(site.decide(2300), ['end a cancelled'])
   }],
-  ['a cancelled job whose worker never answers ends with the lease', site => {
+  ['a cancelled job whose worker never responds ends when the lease has lapsed', site => {
     site.add('a')
     site.decide(0)
     site.outcome(0, 'unknown')
