--- a/src/entry/placementTask.ts
+++ b/src/entry/placementTask.ts
@@ -123,7 +123,7 @@
 
   private onTick (now: number): void {
     const { scheduler } = this
-    const siteConfiguration = this.configuration.inForce?.text
+    const siteConfiguration = this.configuration.inForce?.configuration
     if (scheduler === undefined || siteConfiguration === undefined || !this.ownership.isOwner()) return
     const listed = this.membership.workers(this.context.settings.failureDomain).flatMap(worker => {
       const pool = siteConfiguration.workerPools[worker.pool]
--- a/src/zones/configurationHistory.ts
+++ b/src/zones/configurationHistory.ts
@@ -6,7 +6,7 @@
 export interface ConfigurationRevision {
   readonly revision: number
   readonly source: string
-  readonly text: SiteConfiguration
+  readonly configuration: SiteConfiguration
 }
 
 /** Outcome of a publish record. */
@@ -46,7 +46,7 @@
     return this.decided
   }
 
-  /** Marks records before `retainedFrom` as truncated unread. */
+  /** Registers a gap in the stream: records before `retainedFrom` were truncated before they were read. */
   markTruncated (retainedFrom: number): void {
     this.gapEnd = retainedFrom
     this.undecided = []
@@ -71,7 +71,7 @@
     return { kind: 'undecided' }
   }
 
-  /** Applies a restated configuration. It matters only to a reader with a gap, and only if no record after it is missing. */
+  /** Applies a restated configuration. It takes effect only for a reader with a gap, and only if no record after it is missing. */
   private applyRestated (body: Extract<RecordBody, { type: 'configurationRestated' }>, writer: string): void {
     if (this.gapEnd === undefined || body.throughOffset < this.gapEnd) return
     this.decided = body.revision
@@ -88,7 +88,7 @@
     if (checked.kind === 'invalid') return { kind: 'invalid', reason: checked.findings.map(formatFinding).join('; ') }
     this.decided += 1
     this.decidedBy = body.publisher
-    this.activate({ revision: this.decided, source: body.text, text: checked.configuration })
+    this.activate({ revision: this.decided, source: body.text, configuration: checked.configuration })
     return { kind: 'accepted', revision: this.decided }
   }
 
@@ -97,7 +97,7 @@
     if (revision <= (this.current?.revision ?? 0)) return false
     const checked = checkSiteConfiguration('relayed text', source)
     if (checked.kind === 'invalid') return false
-    this.activate({ revision, source, text: checked.configuration })
+    this.activate({ revision, source, configuration: checked.configuration })
     return true
   }
 
