--- a/bench/main.ts
+++ b/bench/main.ts
@@ -1,13 +1,13 @@
 import { runPolicyBench } from './policy.js'
 import { runRequestsBench } from './requests.js'
-import { measureCancellations, runSchedulingBench } from './scheduling.js'
+import { runCancellationBench, runSchedulingBench } from './scheduling.js'
 
 const SEED = 1
 const POLICY_SEEDS = [1, 2, 3]
 
 const BENCHES: Readonly<Record<string, () => void>> = {
   requests: () => runRequestsBench(SEED),
-  cancellations: () => measureCancellations(SEED),
+  cancellations: () => runCancellationBench(SEED),
   policy: () => runPolicyBench(POLICY_SEEDS),
   decisions: () => runSchedulingBench(SEED)
 }
--- a/bench/scheduling.ts
+++ b/bench/scheduling.ts
@@ -88,7 +88,7 @@
 }
 
 /** Prints the decision time after a burst of 10,000 cancellations, compared with the usual decision time. */
-export function measureCancellations (seed: number): void {
+export function runCancellationBench (seed: number): void {
   const site = new SchedulingSite(900, new BestFitPolicy(), seed)
   fillSite(site, 20_000)
   const usual = build()
