--- a/src/base/delay.ts
+++ b/src/base/delay.ts
@@ -15,7 +15,7 @@
   })
 }
 
-/** Full-jitter exponential backoff: uniform between 0 and the capped exponential delay, in milliseconds. */
+/** Returns a full-jitter exponential backoff: uniform between 0 and the capped exponential delay, if `fraction` is uniform in [0, 1). */
 export function backoffMilliseconds (attempt: number, baseMilliseconds: number, maximumMilliseconds: number, fraction: number): number {
   const ceiling = Math.min(maximumMilliseconds, baseMilliseconds * 2 ** attempt)
   return Math.round(ceiling * fraction)
--- a/src/base/jsonWithComments.ts
+++ b/src/base/jsonWithComments.ts
@@ -58,7 +58,7 @@
   return { file, line, column, key, message }
 }
 
-/** Offset of the deepest node that exists along the path. */
+/** Returns the offset of the deepest node that exists along the path. */
 function offsetOf (root: Node, path: KeyPath): number {
   for (let length = path.length; length > 0; length -= 1) {
     const node = findNodeAtLocation(root, path.slice(0, length) as Array<string | number>)
--- a/src/base/logger.ts
+++ b/src/base/logger.ts
@@ -1,6 +1,6 @@
 import loglevel from 'loglevel'
 
-/** Severity names in the order of loglevel. */
+/** Severity levels of the loglevel library, in ascending order. */
 export type LogLevel = 'trace' | 'debug' | 'info' | 'warn' | 'error'
 
 /** Optional fields of a log line. A name has the same meaning in all processes. */
--- a/src/contracts/linkMessages.ts
+++ b/src/contracts/linkMessages.ts
@@ -4,7 +4,7 @@
 
 const count = z.number().int().nonnegative()
 
-/** Slots and connections of one executor that a holder uses. `connections` is the greater of the open and the granted number. */
+/** Slots and connections of one executor that a holder, an entry instance, uses. `connections` is the greater of the open and the granted number. */
 export interface SlotUse {
   readonly executor: string
   readonly held: number
@@ -46,7 +46,7 @@
   z.object({ type: z.literal('slotGrants'), logicalTime, term: z.number().int(), sequence: z.number().int(), answersReport: z.number().int(), validMilliseconds: z.number().int(), grants: z.array(slotGrantSchema) }),
   z.object({ type: z.literal('promiseRequest'), logicalTime, failureDomain: z.string(), term: z.number().int(), request: z.number().int(), durationMilliseconds: z.number().int() }),
   z.object({ type: z.literal('promise'), logicalTime, failureDomain: z.string(), term: z.number().int(), request: z.number().int(), granted: z.boolean() }),
-  /** Announces the revision in force at the sender; a peer that lacks it requests the text. `digest` is the xxHash of the text. */
+  /** Announces the revision in force at the sender; a peer that lacks it requests its text. `digest` is the xxHash of that text. */
   z.object({ type: z.literal('configurationAnnouncement'), logicalTime, revision: z.number().int(), digest: z.string() }),
   z.object({ type: z.literal('configurationRequest'), logicalTime }),
   z.object({ type: z.literal('configurationText'), logicalTime, revision: z.number().int(), text: z.string() })
--- a/src/machines/membership.ts
+++ b/src/machines/membership.ts
@@ -38,9 +38,9 @@
   /** Records a heartbeat of a linked instance; `now` is monotonic milliseconds. Leaving is final for an incarnation. */
   recordHeartbeat (instance: string, incarnation: string, leaving: boolean, now: number): void {
     const previous = this.heartbeats.get(instance)
-    const hasLeft = leaving || (previous?.incarnation === incarnation && previous.leaving)
-    this.heartbeats.set(instance, { incarnation, leaving: hasLeft, receivedAt: now })
-    if (hasLeft !== (previous?.leaving ?? false)) this.didChange.fire()
+    const isLeaving = leaving || (previous?.incarnation === incarnation && previous.leaving)
+    this.heartbeats.set(instance, { incarnation, leaving: isLeaving, receivedAt: now })
+    if (isLeaving !== (previous?.leaving ?? false)) this.didChange.fire()
   }
 
   /** Returns whether the latest heartbeat of a peer is older than the suspicion timeout; false before its first heartbeat. */
