--- a/src/load/loadRunner.ts
+++ b/src/load/loadRunner.ts
@@ -30,7 +30,7 @@
   readonly usedShareWhileWaiting: number | undefined
 }
 
-const SAMPLE_MILLISECONDS = 100
+const SAMPLE_INTERVAL_MILLISECONDS = 100
 const SERIES_QUANTILE = 0.99
 
 /** Runs a scenario against entry instances with open-loop arrivals. */
@@ -113,7 +113,7 @@
     const arrivalsEnd = startedAt + this.scenario.durationMilliseconds
     const end = arrivalsEnd + this.scenario.settleMilliseconds
     for (let now = performance.now(); now < end; now = performance.now()) {
-      await delay(SAMPLE_MILLISECONDS)
+      await delay(SAMPLE_INTERVAL_MILLISECONDS)
       // Without jobs there is nothing to sample, and the reads would add to the control cost that is measured.
       if (this.scenario.jobs.length > 0) await this.takeSample(Math.floor((now - startedAt) / 1000))
       this.onProgress(Math.min(1, (now - startedAt) / this.scenario.durationMilliseconds))
@@ -126,7 +126,6 @@
     const statuses = await this.probe.readStatuses()
     const owners = new Map([...statuses].filter(([, status]) => status.isOwner).map(([address, status]) => [status.failureDomain, address]))
     await this.tracker.poll(owners)
-    const { waitingFailureDomains: waitingDomains } = this.tracker
     const usedShareOf = (domains: Iterable<string>): number | undefined => {
       let used = 0
       let capacity = 0
@@ -138,7 +137,7 @@
       return capacity > 0 ? used / capacity : undefined
     }
     const usedShare = usedShareOf(owners.keys())
-    if (usedShare !== undefined) this.samples.push({ second, usedShare, usedShareWhileWaiting: usedShareOf(waitingDomains) })
+    if (usedShare !== undefined) this.samples.push({ second, usedShare, usedShareWhileWaiting: usedShareOf(this.tracker.waitingFailureDomains) })
   }
 
   private summarizePacking (): LoadResult['packing'] {
@@ -150,11 +149,11 @@
   private createSeries (): LoadResult['series'] {
     const length = Math.max(Math.ceil(this.scenario.durationMilliseconds / 1000), ...this.samples.map(sample => sample.second + 1))
     const responseTimes = new Map<string, number[][]>()
-    for (const { kind, urgency, dueMilliseconds, elapsedMilliseconds: tookMilliseconds } of this.outcomes) {
+    for (const { kind, urgency, dueMilliseconds, elapsedMilliseconds } of this.outcomes) {
       if (kind !== 'answered') continue
       const seconds = responseTimes.get(urgency) ?? Array.from({ length }, (): number[] => [])
       responseTimes.set(urgency, seconds)
-      seconds[Math.floor(dueMilliseconds / 1000)]?.push(tookMilliseconds)
+      seconds[Math.floor(dueMilliseconds / 1000)]?.push(elapsedMilliseconds)
     }
     const used = Array.from({ length }, (_, second) => this.samples.findLast(sample => sample.second === second)?.usedShare ?? null)
     const answerTimes = Object.fromEntries([...responseTimes].map(([urgency, seconds]) => [urgency, seconds.map(seriesQuantile)]))
--- a/src/load/outcomeCheck.ts
+++ b/src/load/outcomeCheck.ts
@@ -38,7 +38,7 @@
     if (outcome.kind === 'answered' && outcome.request === undefined) problems.push(`a request to ${outcome.service} was answered without an identity`)
     if (runCount === undefined) continue
     if (runCount > 1 && !isRepeatAllowed) problems.push(`request ${outcome.request} to ${outcome.service} ran ${runCount} times and was ${outcome.kind}`)
-    // A keyed request may be answered from the record of an earlier submission.
+    // A keyed request may be answered with the stored response to an earlier submission.
     if (outcome.kind === 'answered' && outcome.status < 400 && runCount === 0 && outcome.key === undefined) problems.push(`request ${outcome.request} was answered and ran 0 times`)
     if (outcome.kind === 'notRun' && runCount > 0) problems.push(`request ${outcome.request} was reported as notRun (${outcome.code}) and ran ${runCount} times`)
   }
--- a/src/operator/operatorClient.ts
+++ b/src/operator/operatorClient.ts
@@ -45,11 +45,11 @@
   }
 
   /** Publishes a site configuration based on `baseRevision`. Concurrent publishes are resolved by the order of their records in the log. */
-  async publish (text: string, baseRevision: number, publisher: string): Promise<PublishResult> {
+  async publish (source: string, baseRevision: number, publisher: string): Promise<PublishResult> {
     const identity = randomUUID()
     // Reading the log first gives the record a logical time after those of all records that the operator may have seen.
     await this.readHistory('').catch(() => undefined)
-    const body = { type: 'configurationPublished' as const, baseRevision, text, publisher }
+    const body = { type: 'configurationPublished' as const, baseRevision, text: source, publisher }
     const record: RecordEnvelope = { identity, schemaVersion: RECORD_SCHEMA_VERSION, writer: publisher, logicalTime: this.clock.tick(), body }
     const failure = await this.append(record)
     if (failure?.mayBeStored === false) return { kind: 'notSent', reason: failure.reason }
@@ -57,7 +57,7 @@
     return outcome ?? { kind: 'unknown', reason: failure?.reason ?? 'the record was not found in the log' }
   }
 
-  /** Reads the decided site configuration or an earlier revision; returns undefined if the log no longer retains that revision. Throws `LogUnavailableError`. */
+  /** Reads the site configuration in force, or that of the given revision; returns undefined if the log no longer retains that revision. Throws `LogUnavailableError`. */
   async readConfiguration (revision?: number): Promise<PublishedConfiguration | undefined> {
     const { history, revisions } = await this.readHistory('')
     if (revision !== undefined) return revisions.get(revision)
--- a/src/standins/executorStandin.ts
+++ b/src/standins/executorStandin.ts
@@ -28,7 +28,7 @@
 
 const ECHO_CHARACTERS = 200
 
-/** Executor with a nominal number of slots. It doesn't enforce the limit, but records the peak concurrency, so that a check can detect violations. */
+/** Executor with a nominal number of slots. It does not enforce the limit, but records the peak concurrency, so that a check can detect violations. */
 export class ExecutorStandin extends HttpStandin {
   readonly faults: ExecutorFaults = { failEverything: false, refuse: false, loseAnswers: false, cutBodies: false, slowFactor: 1 }
   readonly runs: ExecutorRun[] = []
--- a/src/standins/standinContext.ts
+++ b/src/standins/standinContext.ts
@@ -2,7 +2,7 @@
 import type { Random } from '../base/random.js'
 import type { EventLog } from '../contracts/eventLog.js'
 
-/** Services that all stand-ins share. */
+/** Dependencies passed to every stand-in. */
 export interface StandinContext {
   readonly logger: Logger
   readonly events: EventLog
--- a/src/standins/workerStandin.ts
+++ b/src/standins/workerStandin.ts
@@ -216,7 +216,7 @@
   }
 }
 
-/** Negative if `left` is the earlier attempt, positive if it is the later, 0 if they are the same. */
+/** Returns a negative number if `left` is the earlier attempt, a positive one if it is the later, 0 if they are the same. */
 function compareAttempts (left: Attempt, right: Attempt): number {
   return left.term - right.term || left.sequence - right.sequence
 }
