--- a/src/programs/commandLine.ts
+++ b/src/programs/commandLine.ts
@@ -39,7 +39,7 @@
     await program.runMatchedCommand()
   } catch (error) {
     const isUsageError = error instanceof UsageError || (error as Error).name === 'CACError'
-    const message = isUsageError ? describeUsage(describeError(error)) : describeSystemError(error)
+    const message = isUsageError ? describeUsageError(describeError(error)) : describeSystemError(error)
     for (const line of message.split('\n')) process.stderr.write(`${program.name}: ${line}\n`)
     process.exitCode = isUsageError ? EXIT_USAGE : EXIT_FAILURE
   }
@@ -115,8 +115,8 @@
   return name.replace(/[A-Z]/g, letter => `-${letter.toLowerCase()}`)
 }
 
-/** Replaces the messages of the option parser by messages in the format of this program. */
-function describeUsage (message: string): string {
+/** Replaces the messages of the option parser with messages in the format of this program. */
+function describeUsageError (message: string): string {
   const unknown = /^Unknown option `(.+)`$/.exec(message)?.[1]
   if (unknown !== undefined) return `unknown option ${unknown}; see --help`
   const missingValue = /^option `(\S+) (.+)` value is missing$/.exec(message)
--- a/src/programs/load.ts
+++ b/src/programs/load.ts
@@ -21,7 +21,7 @@
   settings: textOption.optional(),
   token: textOption.optional(),
   standin: addressOption.optional(),
-  text: z.string('expected the file of the site text').min(1),
+  text: z.string('expected the file of the site configuration').min(1),
   json: textOption.optional(),
   plot: textOption.optional(),
   events: textOption.optional(),
--- a/src/programs/vanillaturn.ts
+++ b/src/programs/vanillaturn.ts
@@ -22,7 +22,7 @@
 const commandOptions = {
   publish: z.object({
     ...settingsOption,
-    base: wholeNumberOption('the revision that the text was made from'),
+    base: wholeNumberOption('the revision that the configuration is based on'),
     publisher: textOption,
     wait: wholeNumberOption('a number of seconds').refine(seconds => seconds <= MAXIMUM_WAIT_SECONDS, `expected at most ${MAXIMUM_WAIT_SECONDS} seconds`)
   }),
@@ -69,9 +69,9 @@
   }
 }
 
-/** Selects the explanations to print: those of all instances for a request, and that of the owner, if it responded, for a job. */
-function chooseExplanations (answers: readonly InstanceResponse[]): string[] {
-  const found = answers.filter(answer => answer.status === 200).map(answer => answer.body ?? {})
+/** Selects the explanations to print: for a request, those of all instances; for a job, that of the owner, or of another instance if the owner's is missing. */
+function chooseExplanations (responses: readonly InstanceResponse[]): string[] {
+  const found = responses.filter(response => response.status === 200).map(response => response.body ?? {})
   const requests = found.filter(body => body.subjectKind === 'request')
   if (requests.length > 0) return requests.map(body => `${body.instance}: ${body.explanation}`)
   const selected = found.find(body => body.owner !== undefined && body.owner === body.instance) ?? found.find(body => body.owner === undefined) ?? found[0]
@@ -79,12 +79,12 @@
 }
 
 async function explainFromInstances (client: OperatorClient, subject: string): Promise<void> {
-  const answers = await client.queryAll(`/operator/explain/${encodeURIComponent(subject)}`)
-  const explanations = chooseExplanations(answers)
+  const responses = await client.queryAll(`/operator/explain/${encodeURIComponent(subject)}`)
+  const explanations = chooseExplanations(responses)
   for (const line of explanations) writeLine(line)
   if (explanations.length > 0) return
-  const failed = answers.filter(answer => answer.status !== 404)
-  const failures = failed.map(answer => `\n${answer.address}: ${answer.reason ?? (answer.status === 401 ? 'the operator token is refused' : `status ${answer.status}`)}`)
+  const failed = responses.filter(response => response.status !== 404)
+  const failures = failed.map(response => `\n${response.address}: ${response.reason ?? (response.status === 401 ? 'the operator token is refused' : `status ${response.status}`)}`)
   throw new Error(`no entry instance that answered knows '${subject}'${failures.join('')}`)
 }
 
@@ -120,14 +120,14 @@
         return
       }
       if (options.wait === 0) return
-      const answers = await client.waitUntilInForce(result.revision, options.wait * 1000)
-      const reachable = answers.flatMap(answer => answer.status ?? [])
+      const responses = await client.waitUntilInForce(result.revision, options.wait * 1000)
+      const reachable = responses.flatMap(response => response.status ?? [])
       const outdated = reachable.filter(status => status.revision < result.revision)
-      for (const { address, status, reason } of answers) {
+      for (const { address, status, reason } of responses) {
         if (status === undefined) writeLine(`${address}: ${reason}`)
       }
       for (const status of outdated) writeLine(`${status.instance}: still has revision ${status.revision}`)
-      writeLine(`in force at ${reachable.length - outdated.length} of ${answers.length} instances`)
+      writeLine(`in force at ${reachable.length - outdated.length} of ${responses.length} instances`)
       if (outdated.length > 0 || reachable.length === 0) process.exitCode = EXIT_FAILURE
     })
   })
@@ -148,8 +148,8 @@
 program.command('status', 'Show the state of every entry instance; exits with 0 if there are no problems').action(async (given: Record<string, unknown>) => {
   const options = checkOptions(given, commandOptions.status)
   await withClient(options.settings, async client => {
-    const [answers, decided] = await Promise.all([client.readStatus(), client.readConfiguration().catch(() => undefined)])
-    const site = assessStatus(answers, decided?.revision)
+    const [responses, decided] = await Promise.all([client.readStatus(), client.readConfiguration().catch(() => undefined)])
+    const site = assessStatus(responses, decided?.revision)
     writeLine(formatStatus(site))
     if (site.problems.length > 0) process.exitCode = EXIT_FAILURE
   })
--- a/src/programs/wiring.ts
+++ b/src/programs/wiring.ts
@@ -129,9 +129,9 @@
   metrics.addGauge('resident_bytes', 'Resident memory of the process', () => process.memoryUsage.rss())
   metrics.addGauge('log_appends', 'Appends sent to the platform\'s log', () => appenders.reduce((sum, appender) => sum + appender.appendsSent, 0))
   metrics.addGauge('malformed_frames', 'Malformed frames received on links', () => links.malformedFrames)
-  const operators = new OperatorApi(context, configuration, ownership, placement, jobs, requestDispatcher, membership.membership, links, metrics, requests, () => followers.reduce((sum, follower) => sum + follower.newerRecords, 0), () => instance.isReady)
+  const operatorApi = new OperatorApi(context, configuration, ownership, placement, jobs, requestDispatcher, membership.membership, links, metrics, requests, () => followers.reduce((sum, follower) => sum + follower.newerRecords, 0), () => instance.isReady)
   const jobApi = new JobApi(context, jobs, placement, membership.membership, agent)
-  const server = own(new CallerServer(configuration, requestDispatcher, jobApi, operators, keys, forwarder, () => instance.isReady))
+  const server = own(new CallerServer(configuration, requestDispatcher, jobApi, operatorApi, keys, forwarder, () => instance.isReady))
   const instance: EntryInstance = new EntryInstance(context, { followers, links, membership, configuration, ownership, slots, requestDispatcher, server, jobs, placement, disposables: owned })
   return instance
 }
