--- a/test/programs/embeddedSite.test.ts
+++ b/test/programs/embeddedSite.test.ts
@@ -48,7 +48,7 @@
     }
     const linesAtShutdown = lines.length
     await setTimeout(SETTLE_MILLISECONDS)
-    assert.deepEqual(lines.slice(linesAtShutdown), [], 'nothing is logged after the stop')
+    assert.deepEqual(lines.slice(linesAtShutdown), [], 'nothing is logged after the shutdown')
     const parsed = parseEvents(lines)
     assert.deepEqual(checkCausalOrder(parsed), [])
     const events = mergeEvents(parsed)
--- a/test/programs/gracefulShutdown.test.ts
+++ b/test/programs/gracefulShutdown.test.ts
@@ -79,8 +79,8 @@
       entry.process.kill('SIGTERM')
       const [status] = await exited
       await callers.stop()
-      const { brokenOnReusedConnection: brokenKept, brokenOnNewConnection: brokenFresh, errors, refusalsWithoutRetryAfter } = callers.counts
-      assert.deepEqual({ brokenKept, brokenFresh, errors, refusalsWithoutRetryAfter }, { brokenKept: 0, brokenFresh: 0, errors: {}, refusalsWithoutRetryAfter: 0 })
+      const { brokenOnReusedConnection, brokenOnNewConnection, errors, refusalsWithoutRetryAfter } = callers.counts
+      assert.deepEqual({ brokenOnReusedConnection, brokenOnNewConnection, errors, refusalsWithoutRetryAfter }, { brokenOnReusedConnection: 0, brokenOnNewConnection: 0, errors: {}, refusalsWithoutRetryAfter: 0 })
       assert.equal(status, 0)
     } finally {
       await callers.stop()
