--- a/bench/gracefulShutdown.ts
+++ b/bench/gracefulShutdown.ts
@@ -5,7 +5,10 @@
 import { delay } from '../src/base/delay.js'
 import { PersistentCallers } from '../test/fakes/persistentCallers.js'
 
-/** Measures the graceful shutdown of one of three entry instances of examples/small under continuous load. */
+/**
+ * Measures the graceful shutdown of one of three entry instances of examples/small under continuous load.
+ * Arguments: the number of callers, the number of runs, and `fresh` to open a new connection for each request.
+ */
 
 const PROGRAMS = fileURLToPath(new URL('../src/programs/', import.meta.url))
 const SITE = 'examples/small'
@@ -52,5 +55,5 @@
 }
 
 mkdirSync('run', { recursive: true })
-process.stdout.write(`${CALLER_COUNT} callers on ${KEEP_ALIVE ? 'kept' : 'fresh'} connections, ${RUN_COUNT} runs\n`)
+process.stdout.write(`${CALLER_COUNT} callers on ${KEEP_ALIVE ? 'persistent' : 'new'} connections, ${RUN_COUNT} runs\n`)
 for (let run = 0; run < RUN_COUNT; run += 1) process.stdout.write(JSON.stringify(await measure()) + '\n')
--- a/bench/policy.ts
+++ b/bench/policy.ts
@@ -11,7 +11,7 @@
 const WORKERS = 30
 const TICK_MILLISECONDS = 500
 const ARRIVALS_MILLISECONDS = 3_600_000
-const MAXIMUM_MILLISECONDS = 4 * ARRIVALS_MILLISECONDS
+const TIME_LIMIT_MILLISECONDS = 4 * ARRIVALS_MILLISECONDS
 /** Ratio of the offered processor time to the capacity while jobs arrive. */
 const OFFERED_LOAD = 1.1
 
@@ -85,8 +85,8 @@
 
   private setTaskState (task: string, state: ReportedTask['state']): void {
     const tasks = this.tasksByWorker.get(this.workerByTask.get(task) ?? '')
-    const known = tasks?.get(task)
-    if (known !== undefined) tasks?.set(task, { ...known, state })
+    const reported = tasks?.get(task)
+    if (reported !== undefined) tasks?.set(task, { ...reported, state })
   }
 
   private reportWorkers (now: number): void {
@@ -211,7 +211,7 @@
   let used = 0
   let runs = 0
   let next = 0
-  for (let now = 0; now < MAXIMUM_MILLISECONDS && (next < arrivals.length || waiting.size > 0 || running.size > 0); now += TICK_MILLISECONDS) {
+  for (let now = 0; now < TIME_LIMIT_MILLISECONDS && (next < arrivals.length || waiting.size > 0 || running.size > 0); now += TICK_MILLISECONDS) {
     for (let arrival = arrivals[next]; arrival !== undefined && arrival.at <= now; arrival = arrivals[++next]) {
       system.addJob(arrival.job, now)
       for (let index = 0; index < arrival.job.tasks; index += 1) waiting.set(`${arrival.job.identity}#${index}`, { job: arrival.job, at: now })
@@ -241,11 +241,11 @@
       const wait = waiting.get(task)
       if (wait !== undefined) result.recordWait(job, now - wait.at)
       waiting.delete(task)
-      const left = remainingByTask.get(task) ?? job.runMilliseconds ?? 1
+      const remaining = remainingByTask.get(task) ?? job.runMilliseconds ?? 1
       runs += 1
-      running.set(task, { job, startedAt: now, remaining: left, run: runs })
+      running.set(task, { job, startedAt: now, remaining, run: runs })
       used += job.resources.processorsThousandths
-      ends.push({ task, run: runs }, now + left)
+      ends.push({ task, run: runs }, now + remaining)
     }
     if (waiting.size === 0) continue
     result.samples += 1
--- a/bench/scheduling.ts
+++ b/bench/scheduling.ts
@@ -50,11 +50,11 @@
   }
 }
 
-function measureDecisions (workers: number, waiting: number, scan: boolean, seed: number, decisions: number): DecisionMetrics {
+function measureDecisions (workers: number, waiting: number, usesFullScan: boolean, seed: number, decisions: number): DecisionMetrics {
   const policy = new SwitchablePolicy()
   const site = new SchedulingSite(workers, policy, seed)
   fillSite(site, waiting)
-  policy.usesFullScan = scan
+  policy.usesFullScan = usesFullScan
   const histogram = build()
   let milliseconds = 0
   for (let decision = 0; decision < Math.min(decisions, WARM_UP_DECISIONS); decision += 1) {
--- a/bench/schedulingSite.ts
+++ b/bench/schedulingSite.ts
@@ -15,7 +15,7 @@
   readonly workers: string[]
   now = 0
   placed = 0
-  private jobs = 0
+  private nextJobNumber = 0
   private readonly running = new Map<string, Map<string, ReportedTask>>()
 
   constructor (workers: number, policy: PlacementPolicy, seed: number) {
@@ -32,7 +32,7 @@
   /** Adds jobs of one task each, with random sizes in steps of 0.1 processors and 128 MB. Returns their identities. */
   submit (count: number): string[] {
     return Array.from({ length: count }, () => {
-      const identity = `job-${this.jobs++}`
+      const identity = `job-${this.nextJobNumber++}`
       const resources: Resources = { processorsThousandths: 100 * (1 + this.random.integerBelow(40)), memoryBytes: 2 ** 27 * (1 + this.random.integerBelow(100)), accelerators: this.random.integerBelow(20) === 0 ? 1 : 0 }
       const job: Job = { identity, name: identity, team: `team-${this.random.integerBelow(10)}`, kind: 'batch', urgency: this.random.pick(['normal', 'deferrable'] as const), tasks: 1, resources, checkpointable: false, acceptedAtMilliseconds: 0 }
       this.scheduler.addJob(job, this.now)
