--- a/src/load/loadRunner.ts
+++ b/src/load/loadRunner.ts
@@ -126,6 +126,7 @@
     const statuses = await this.probe.readStatuses()
     const owners = new Map([...statuses].filter(([, status]) => status.isOwner).map(([address, status]) => [status.failureDomain, address]))
     await this.tracker.poll(owners)
+    const { waitingFailureDomains } = this.tracker
     const usedShareOf = (domains: Iterable<string>): number | undefined => {
       let used = 0
       let capacity = 0
@@ -137,7 +138,7 @@
       return capacity > 0 ? used / capacity : undefined
     }
     const usedShare = usedShareOf(owners.keys())
-    if (usedShare !== undefined) this.samples.push({ second, usedShare, usedShareWhileWaiting: usedShareOf(this.tracker.waitingFailureDomains) })
+    if (usedShare !== undefined) this.samples.push({ second, usedShare, usedShareWhileWaiting: usedShareOf(waitingFailureDomains) })
   }
 
   private summarizePacking (): LoadResult['packing'] {
