--- a/bench/scheduling.ts
+++ b/bench/scheduling.ts
@@ -50,11 +50,11 @@
   }
 }
 
-function measureDecisions (workers: number, waiting: number, scan: boolean, seed: number, decisions: number): DecisionMetrics {
+function measureDecisions (workers: number, waiting: number, usesFullScan: boolean, seed: number, decisions: number): DecisionMetrics {
   const policy = new SwitchablePolicy()
   const site = new SchedulingSite(workers, policy, seed)
   fillSite(site, waiting)
-  policy.usesFullScan = scan
+  policy.usesFullScan = usesFullScan
   const histogram = build()
   let milliseconds = 0
   for (let decision = 0; decision < Math.min(decisions, WARM_UP_DECISIONS); decision += 1) {
@@ -88,7 +88,7 @@
 }
 
 /** Prints the decision time after a burst of 10,000 cancellations, compared with the usual decision time. */
-export function measureCancellations (seed: number): void {
+export function runCancellationBench (seed: number): void {
   const site = new SchedulingSite(900, new BestFitPolicy(), seed)
   fillSite(site, 20_000)
   const usual = build()
