--- a/src/cluster/clusterScheduler.ts
+++ b/src/cluster/clusterScheduler.ts
@@ -187,7 +187,7 @@
       return
     }
     if (outcome === 'notStarted') {
-      this.giveUpRun(task)
+      this.abandonRun(task)
       return
     }
     this.onRunning(task, now)
@@ -229,7 +229,7 @@
       if (listed.has(task.name)) continue
       if (!this.isRunAbsent(task, isFirst, sentAt)) continue
       this.observer.onDidLoseRun(worker, task)
-      this.giveUpRun(task)
+      this.abandonRun(task)
     }
   }
 
@@ -243,7 +243,7 @@
   onWorkerLost (identity: string): void {
     const worker = this.workers.get(identity)
     if (worker === undefined) return
-    for (const task of [...worker.runs.values()]) this.giveUpRun(task)
+    for (const task of [...worker.runs.values()]) this.abandonRun(task)
     if (!worker.isListed) this.workers.delete(identity)
   }
 
@@ -415,7 +415,7 @@
       return
     }
     if (end.kind === 'failed' && worker.recordFailure(job.identity, now)) this.observer.onDidQuarantine(worker)
-    this.giveUpRun(task)
+    this.abandonRun(task)
     if (end.kind === 'failed' && !job.isFinal && !task.step.specification.longRunning) this.onFailure(task, now)
   }
 
@@ -479,7 +479,7 @@
   }
 
   /** Returns the task of a run that no longer exists to the waiting tasks. A gang is restarted as a whole. */
-  private giveUpRun (task: Task): void {
+  private abandonRun (task: Task): void {
     this.workers.get(task.worker)?.release(task)
     if (task.phase === 'done') return
     this.returnToWaiting(task)
--- a/test/fuzz/clusterFaults.ts
+++ b/test/fuzz/clusterFaults.ts
@@ -72,7 +72,7 @@
     runs: 124,
     injectFault: replaceMethod(ClusterScheduler, 'stopRun', (original, self, task) => {
       original(task)
-      if ((task as Task).phase === 'stopping') (self.giveUpRun as (task: unknown) => void)(task)
+      if ((task as Task).phase === 'stopping') (self.abandonRun as (task: unknown) => void)(task)
     })
   },
   {
@@ -89,7 +89,7 @@
     runs: 25,
     injectFault: replaceMethod(ClusterScheduler, 'onWorkerRestarted', (original, self, worker) => {
       original(worker)
-      for (const task of [...(worker as WorkerState).runs.values()]) (self.giveUpRun as (task: unknown) => void)(task)
+      for (const task of [...(worker as WorkerState).runs.values()]) (self.abandonRun as (task: unknown) => void)(task)
     })
   },
   {
