--- a/src/cluster/activeScheduler.ts
+++ b/src/cluster/activeScheduler.ts
@@ -7,7 +7,7 @@
 import type { ClusterBounds } from '../contracts/clusterSettings.js'
 import type { JobState } from '../contracts/stepJob.js'
 import type { ClusterMetrics } from './clusterMetrics.js'
-import { ClusterScheduler, type PlannedStop, type SchedulerObserver } from './clusterScheduler.js'
+import { ClusterScheduler, type PendingStop, type SchedulerObserver } from './clusterScheduler.js'
 import { EligibilityRequester, type EligibilityRequestResult, type EligibilityChannel } from './eligibilityRequester.js'
 import { discardTicket, toProgressRecord, type Job, type Task } from './job.js'
 import { JobRetention } from './jobRetention.js'
@@ -383,7 +383,7 @@
     }
   }
 
-  private sendStops (stops: readonly PlannedStop[]): void {
+  private sendStops (stops: readonly PendingStop[]): void {
     for (const { worker, task, run } of stops) this.sessions.get(worker)?.stop(task, run)
   }
 
--- a/src/cluster/clusterScheduler.ts
+++ b/src/cluster/clusterScheduler.ts
@@ -37,7 +37,7 @@
 }
 
 /** A run to be stopped. */
-export interface PlannedStop {
+export interface PendingStop {
   readonly worker: string
   readonly task: string
   readonly run: number
@@ -58,7 +58,7 @@
   private readonly cancelledBeforeAdd = new Set<string>()
   /** Capacity reserved for urgent work. */
   readonly headroom = new UrgentHeadroom()
-  private plannedStops: PlannedStop[] = []
+  private plannedStops: PendingStop[] = []
   private configuration: ClusterConfiguration | undefined
   private readonly queues = new Map<string, Queue>()
 
@@ -136,7 +136,7 @@
   }
 
   /** Returns the stops planned since the last call. */
-  takeStops (): PlannedStop[] {
+  takeStops (): PendingStop[] {
     const stops = this.plannedStops
     this.plannedStops = []
     return stops
