--- a/src/cluster/clusterScheduler.ts
+++ b/src/cluster/clusterScheduler.ts
@@ -58,7 +58,7 @@
   private readonly cancelledBeforeAdd = new Set<string>()
   /** Capacity reserved for urgent work. */
   readonly headroom = new UrgentHeadroom()
-  private plannedStops: PendingStop[] = []
+  private pendingStops: PendingStop[] = []
   private configuration: ClusterConfiguration | undefined
   private readonly queues = new Map<string, Queue>()
 
@@ -137,8 +137,8 @@
 
   /** Returns the stops planned since the last call. */
   takeStops (): PendingStop[] {
-    const stops = this.plannedStops
-    this.plannedStops = []
+    const stops = this.pendingStops
+    this.pendingStops = []
     return stops
   }
 
@@ -370,7 +370,7 @@
     if (requestedAt !== undefined && now - requestedAt < ORPHAN_STOP_RETRY_MILLISECONDS) return
     worker.orphanStopTimes.set(key, now)
     this.observer.onDidFindOrphanedRun(worker, taskName, run)
-    this.plannedStops.push({ worker: worker.identity, task: taskName, run })
+    this.pendingStops.push({ worker: worker.identity, task: taskName, run })
   }
 
   /** Returns true if a task was completed by this run, as shown earlier by the end of another gang member or by a later report. */
@@ -475,7 +475,7 @@
     }
     if (!task.hasRun || task.phase === 'stopping') return
     task.phase = 'stopping'
-    this.plannedStops.push({ worker: task.worker, task: task.name, run: task.run })
+    this.pendingStops.push({ worker: task.worker, task: task.name, run: task.run })
   }
 
   /** Returns the task of a run that no longer exists to the waiting tasks. A gang is restarted as a whole. */
