--- a/src/cluster/clusterInstance.ts
+++ b/src/cluster/clusterInstance.ts
@@ -143,7 +143,7 @@
    * Makes the instance report itself as not ready and resigns from the role. Requests that still arrive are served, and tasks are
    * placed until a successor has taken over.
    */
-  async prepareStop (): Promise<void> {
+  async prepareShutdown (): Promise<void> {
     this.isStopping = true
     await this.resign(this.links.pickSuccessor(), 'the instance is stopping')
   }
--- a/test/cluster/clusterInstance.test.ts
+++ b/test/cluster/clusterInstance.test.ts
@@ -168,7 +168,7 @@
     const small = [await cluster.start('two', SMALL), await cluster.start('three', SMALL), await cluster.start('four', SMALL)]
     const large = await cluster.start('five', { processorShare: 1.2, linkMegabits: 1000 })
     for (const instance of [...small, large]) await waitUntil(async () => await instance.jobService.getState('00000000000000bb', 3000) === 'unknownJob')
-    await first.prepareStop()
+    await first.prepareShutdown()
     await waitUntil(() => !first.isSchedulerActive())
     assert.ok(large.isSchedulerActive())
   }))
@@ -182,7 +182,7 @@
     const appends = cluster.log.appends
     await waitUntil(() => cluster.log.appends > appends)
     cluster.log.appendMilliseconds = 0
-    await first.prepareStop()
+    await first.prepareShutdown()
     await new Promise(resolve => setTimeout(resolve, 400))
     const latest = cluster.log.latestValue(TOPICS.leadership, 'scheduler')
     assert.ok(latest !== undefined && decodeRecord<LeadershipRecord>(latest).resigned)
@@ -227,7 +227,7 @@
     await waitUntil(() => first.isSchedulerActive())
     const second = await cluster.start('two')
     await waitUntil(async () => await second.jobService.getState('00000000000000bb', 3000) === 'unknownJob')
-    await first.prepareStop()
+    await first.prepareShutdown()
     assert.equal(first.isReady, false)
     await waitUntil(() => second.isSchedulerActive() && !first.isSchedulerActive())
     await waitUntil(async () => (await first.jobService.submit(JOB, queue, job, 3000)).kind === 'accepted')
