--- a/test/platform/callerServer.test.ts
+++ b/test/platform/callerServer.test.ts
@@ -50,7 +50,7 @@
 
   prepareStop (): number {
     const deadline = performance.now() + GRACE_MILLISECONDS
-    this.server.prepareStop(deadline)
+    this.server.prepareShutdown(deadline)
     return deadline
   }
 
@@ -126,7 +126,7 @@
     name: 'a job whose body does not arrive before the shutdown deadline with 503, without storing it',
     run: async fixture => {
       const caller = await fixture.connectPersistent()
-      fixture.server.prepareStop(performance.now() + 50)
+      fixture.server.prepareShutdown(performance.now() + 50)
       caller.write(post('00000000000000aa').slice(0, -2))
       await assertClosedAfter(caller, [503])
       assert.match(caller.received, /\r\nretry-after: 1\r\n/)
