--- a/test/platform/callerServer.test.ts
+++ b/test/platform/callerServer.test.ts
@@ -48,7 +48,7 @@
     return caller
   }
 
-  prepareStop (): number {
+  prepareShutdown (): number {
     const deadline = performance.now() + GRACE_MILLISECONDS
     this.server.prepareShutdown(deadline)
     return deadline
@@ -73,7 +73,7 @@
       const caller = await fixture.connectPersistent()
       caller.write(post('00000000000000aa'))
       await untilTrue(() => fixture.pendingSubmits.length === 1)
-      const drained = fixture.server.drain(fixture.prepareStop())
+      const drained = fixture.server.drain(fixture.prepareShutdown())
       fixture.storeAll()
       await assertClosedAfter(caller, [200])
       assert.equal(await drained, 0)
@@ -85,7 +85,7 @@
       const caller = await fixture.connectPersistent()
       caller.write(post('00000000000000aa') + post('00000000000000ab'))
       await untilTrue(() => fixture.pendingSubmits.length === 2)
-      const drained = fixture.server.drain(fixture.prepareStop())
+      const drained = fixture.server.drain(fixture.prepareShutdown())
       fixture.storeAll()
       await assertClosedAfter(caller, [200, 200])
       assert.equal(await drained, 0)
@@ -96,7 +96,7 @@
     run: async fixture => {
       const caller = await fixture.connectPersistent()
       caller.write(GET)
-      fixture.prepareStop()
+      fixture.prepareShutdown()
       await assertClosedAfter(caller, [200])
     }
   },
@@ -104,7 +104,7 @@
     name: 'a request on an idle connection while the load balancer still sends requests',
     run: async fixture => {
       const caller = await fixture.connectPersistent()
-      fixture.prepareStop()
+      fixture.prepareShutdown()
       for (let turns = 0; turns < 20; turns += 1) await new Promise(resolve => setImmediate(resolve))
       caller.write(GET)
       await assertClosedAfter(caller, [200])
@@ -113,7 +113,7 @@
   {
     name: 'requests on connections that are not accepted yet when listening ends',
     run: async fixture => {
-      const deadline = fixture.prepareStop()
+      const deadline = fixture.prepareShutdown()
       const callers = Array.from({ length: 30 }, () => new RawCaller(fixture.port))
       fixture.callers.push(...callers)
       for (const caller of callers) caller.write(GET)
