--- a/src/cluster/workerSession.ts
+++ b/src/cluster/workerSession.ts
@@ -22,7 +22,7 @@
   onReport (report: WorkerReport, sentAt: number, getEndToAcknowledge: number): void
   onPollFailed (reason: string): void
   /** Called once nothing can run on the worker any more. */
-  onWorkerEnded (): void
+  onWorkerLost (): void
   /** Called when the worker has accepted a greater term. */
   onFenced (): void
   /** Called when a stop was confirmed; a poll sent from now on shows whether the run has ended. */
@@ -220,7 +220,7 @@
   private markEnded (): void {
     if (this.hasEnded) return
     this.hasEnded = true
-    this.observer.onWorkerEnded()
+    this.observer.onWorkerLost()
   }
 
   private onCommandOutcome (outcome: CommandOutcome): void {
--- a/src/cluster/workerSessions.ts
+++ b/src/cluster/workerSessions.ts
@@ -55,7 +55,7 @@
       {
         onReport: (report, sentAt, acknowledgedEnd) => this.onReport(identity, report, sentAt, acknowledgedEnd),
         onPollFailed: reason => this.onPollFailed(identity, reason),
-        onWorkerEnded: () => this.onWorkerEnded(identity),
+        onWorkerLost: () => this.onWorkerEnded(identity),
         onFenced: () => this.onFenced(identity),
         onStopConfirmed: (task, run) => this.scheduler.onStopConfirmed(identity, task, run, this.now()),
         hasUnrecordedEnds: () => this.hasUnrecordedEnds(identity),
