--- a/src/cluster/workerSessions.ts
+++ b/src/cluster/workerSessions.ts
@@ -55,7 +55,7 @@
       {
         onReport: (report, sentAt, acknowledgedEnd) => this.onReport(identity, report, sentAt, acknowledgedEnd),
         onPollFailed: reason => this.onPollFailed(identity, reason),
-        onWorkerLost: () => this.onWorkerEnded(identity),
+        onWorkerLost: () => this.onWorkerLost(identity),
         onFenced: () => this.onFenced(identity),
         onStopConfirmed: (task, run) => this.scheduler.onStopConfirmed(identity, task, run, this.now()),
         hasUnrecordedEnds: () => this.hasUnrecordedEnds(identity),
@@ -105,7 +105,7 @@
     this.scheduler.onPollFailed(identity)
   }
 
-  private onWorkerEnded (identity: string): void {
+  private onWorkerLost (identity: string): void {
     const worker = this.scheduler.workers.get(identity)
     if (worker === undefined) return
     this.logger.info('nothing can run on a worker any more', { worker: identity, count: worker.runs.size })
