--- a/src/cluster/workerSession.ts
+++ b/src/cluster/workerSession.ts
@@ -178,7 +178,7 @@
         this.observer.onFenced()
         return
       case 'replaced':
-        this.markEnded()
+        this.markWorkerLost()
         return
       case 'failed':
         this.observer.onPollFailed(outcome.reason)
@@ -214,10 +214,10 @@
 
   private checkLeaseExpiry (): void {
     if (this.hasEnded || this.now() < this.leasesEndAt) return
-    this.markEnded()
+    this.markWorkerLost()
   }
 
-  private markEnded (): void {
+  private markWorkerLost (): void {
     if (this.hasEnded) return
     this.hasEnded = true
     this.observer.onWorkerLost()
@@ -226,6 +226,6 @@
   private onCommandOutcome (outcome: CommandOutcome): void {
     if (this.isDisposed) return
     if (outcome.kind === 'fenced') this.observer.onFenced()
-    if (outcome.kind === 'replaced') this.markEnded()
+    if (outcome.kind === 'replaced') this.markWorkerLost()
   }
 }
