--- a/src/cluster/workerSession.ts
+++ b/src/cluster/workerSession.ts
@@ -52,7 +52,7 @@
   private leasesEndAt: number
   private wakePollLoop: (() => void) | undefined
   private resolveRecorded: (() => void) | undefined
-  private hasEnded = false
+  private isWorkerLost = false
   /** Whether the latest poll failed. Until one succeeds, no poll extends the lease: otherwise its expiry would never be certain. */
   private hasPollFailed = false
   /** Start time of the worker process that sent the latest report; undefined before the first report. */
@@ -108,7 +108,7 @@
 
   /** Sends a stop until the worker confirms it, nothing can run on the worker any more, or the session is disposed. */
   async stop (task: string, run: number): Promise<void> {
-    while (!this.isDisposed && !this.hasEnded) {
+    while (!this.isDisposed && !this.isWorkerLost) {
       const outcome = await this.port.stop(this.worker, task, run, this.options.term)
       this.onCommandOutcome(outcome)
       if (this.isDisposed || outcome.kind === 'fenced') return
@@ -186,7 +186,7 @@
   }
 
   private onReport (report: WorkerReport, sentAt: number, acknowledgedEnd: number): void {
-    this.hasEnded = false
+    this.isWorkerLost = false
     const isNewProcess = report.bornAt !== this.bornAt
     if (isNewProcess || this.clock === undefined || report.clockMilliseconds > this.clock.worker) {
       this.clock = { worker: report.clockMilliseconds, local: this.now() }
@@ -213,13 +213,13 @@
   }
 
   private checkLeaseExpiry (): void {
-    if (this.hasEnded || this.now() < this.leasesEndAt) return
+    if (this.isWorkerLost || this.now() < this.leasesEndAt) return
     this.markWorkerLost()
   }
 
   private markWorkerLost (): void {
-    if (this.hasEnded) return
-    this.hasEnded = true
+    if (this.isWorkerLost) return
+    this.isWorkerLost = true
     this.observer.onWorkerLost()
   }
 
