--- a/src/cluster/clusterScheduler.ts
+++ b/src/cluster/clusterScheduler.ts
@@ -204,11 +204,11 @@
     const worker = this.workers.get(identity)
     if (worker === undefined) return
     // A delayed report of a former process: a later poll has already reached the current process.
-    if (report.bornAt !== worker.processStartedAt && sentAt < worker.processSeenAt) return
+    if (report.processStartedAt !== worker.processStartedAt && sentAt < worker.processSeenAt) return
     const isFirst = !worker.hasReported
-    if (report.bornAt !== worker.processStartedAt) {
+    if (report.processStartedAt !== worker.processStartedAt) {
       if (!isFirst) this.onWorkerRestarted(worker)
-      worker.processStartedAt = report.bornAt
+      worker.processStartedAt = report.processStartedAt
     }
     worker.processSeenAt = Math.max(worker.processSeenAt, sentAt)
     worker.hasReported = true
--- a/src/cluster/workerPort.ts
+++ b/src/cluster/workerPort.ts
@@ -37,7 +37,7 @@
 export interface WorkerReport {
   /** The worker's own monotonic clock, in milliseconds. */
   readonly clockMilliseconds: number
-  readonly bornAt: number
+  readonly processStartedAt: number
   readonly running: readonly RunningReport[]
   readonly ended: readonly EndReport[]
 }
--- a/src/cluster/workerSession.ts
+++ b/src/cluster/workerSession.ts
@@ -187,13 +187,13 @@
 
   private onReport (report: WorkerReport, sentAt: number, acknowledgedEnd: number): void {
     this.isWorkerLost = false
-    const isNewProcess = report.bornAt !== this.bornAt
+    const isNewProcess = report.processStartedAt !== this.bornAt
     if (isNewProcess || this.clock === undefined || report.clockMilliseconds > this.clock.worker) {
       this.clock = { worker: report.clockMilliseconds, local: this.now() }
     }
     // Leases granted by former schedulers, or on the clock of a former process, expire at the latest a full lease from now.
     if (isNewProcess) this.latestLeaseEnd = report.clockMilliseconds + this.options.leaseMilliseconds
-    this.bornAt = report.bornAt
+    this.bornAt = report.processStartedAt
     this.updateLeaseExpiry()
     this.observer.onReport(report, sentAt, acknowledgedEnd)
   }
--- a/src/cluster/workerSessions.ts
+++ b/src/cluster/workerSessions.ts
@@ -92,7 +92,7 @@
     if (worker === undefined) return
     if (worker.isUnresponsive) this.logger.info('worker answers again', { worker: identity })
     this.metrics.pollCompleted('report')
-    if (report.bornAt === worker.processStartedAt) worker.acknowledgedEnd = Math.max(worker.acknowledgedEnd, acknowledgedEnd)
+    if (report.processStartedAt === worker.processStartedAt) worker.acknowledgedEnd = Math.max(worker.acknowledgedEnd, acknowledgedEnd)
     this.scheduler.onReport(identity, report, sentAt, this.now())
     this.options.onDidChange()
   }
