--- a/src/cluster/workerPort.ts
+++ b/src/cluster/workerPort.ts
@@ -10,7 +10,7 @@
   readonly accelerators: number
   readonly labels: readonly string[]
   /** Start of the worker's process as Unix time in milliseconds, 0 if unknown. Distinguishes a restart under the same identity. */
-  readonly bornAt: number
+  readonly processStartedAt: number
 }
 
 /** A run that the worker reports as running. */
--- a/test/fakes/fakeClusterWorkers.ts
+++ b/test/fakes/fakeClusterWorkers.ts
@@ -66,7 +66,7 @@
   }
 
   get entry (): WorkerEntry {
-    return { identity: this.identity, pool: 'pool', address: `${this.identity}:1`, failureDomain: 'a', state: this.state, processorsThousandths: this.capacity * 1000, memoryMegabytes: 1_000_000, accelerators: 0, labels: ['kind', 'rack'], bornAt: this.bornAt }
+    return { identity: this.identity, pool: 'pool', address: `${this.identity}:1`, failureDomain: 'a', state: this.state, processorsThousandths: this.capacity * 1000, memoryMegabytes: 1_000_000, accelerators: 0, labels: ['kind', 'rack'], processStartedAt: this.bornAt }
   }
 
   /** Simulates a restart of the worker's process under the same identity. */
--- a/test/platform/adapter.test.ts
+++ b/test/platform/adapter.test.ts
@@ -315,7 +315,7 @@
   for (const { name, value } of UNUSABLE) it(`skips an entry with ${name}`, () => assert.equal(decodeWorker('i-1', Buffer.from(JSON.stringify(value))), undefined))
   it('skips an entry that is not JSON', () => assert.equal(decodeWorker('i-1', Buffer.from([255, 0, 1])), undefined))
   it('decodes an entry', () => assert.deepEqual(decodeWorker('i-1', Buffer.from(JSON.stringify(entry))), {
-    identity: 'i-1', pool: 'p', address: 'h:1', failureDomain: 'a', state: 'ready', processorsThousandths: 1, memoryMegabytes: 2, accelerators: 0, labels: ['k', 'r'], bornAt: 7
+    identity: 'i-1', pool: 'p', address: 'h:1', failureDomain: 'a', state: 'ready', processorsThousandths: 1, memoryMegabytes: 2, accelerators: 0, labels: ['k', 'r'], processStartedAt: 7
   }))
   it('decodes a configuration', () => {
     const configuration = decodeConfiguration(Buffer.from(JSON.stringify({
--- a/test/soak/workerStandin.ts
+++ b/test/soak/workerStandin.ts
@@ -12,7 +12,7 @@
 
   /** Returns the worker's encoded entry in the registry. */
   entry (sequence: number): Buffer {
-    const { pool, failureDomain, state, processorsThousandths, memoryMegabytes, labels, bornAt } = this.worker.entry
+    const { pool, failureDomain, state, processorsThousandths, memoryMegabytes, labels, processStartedAt: bornAt } = this.worker.entry
     const resources = { millicpus: processorsThousandths, memMb: memoryMegabytes, gpus: 0 }
     return Buffer.from(JSON.stringify({ service: pool, addr: this.hostAndPort, zone: failureDomain, state, room: resources, labels, born: bornAt, sequence }))
   }
