--- a/src/cluster/workerSession.ts
+++ b/src/cluster/workerSession.ts
@@ -56,7 +56,7 @@
   /** Whether the latest poll failed. Until one succeeds, no poll extends the lease: otherwise its expiry would never be certain. */
   private hasPollFailed = false
   /** Start time of the worker process that sent the latest report; undefined before the first report. */
-  private bornAt: number | undefined
+  private processStartedAt: number | undefined
 
   constructor (
     private worker: WorkerAddress,
@@ -187,13 +187,13 @@
 
   private onReport (report: WorkerReport, sentAt: number, acknowledgedEnd: number): void {
     this.isWorkerLost = false
-    const isNewProcess = report.processStartedAt !== this.bornAt
+    const isNewProcess = report.processStartedAt !== this.processStartedAt
     if (isNewProcess || this.clock === undefined || report.clockMilliseconds > this.clock.worker) {
       this.clock = { worker: report.clockMilliseconds, local: this.now() }
     }
     // Leases granted by former schedulers, or on the clock of a former process, expire at the latest a full lease from now.
     if (isNewProcess) this.latestLeaseEnd = report.clockMilliseconds + this.options.leaseMilliseconds
-    this.bornAt = report.processStartedAt
+    this.processStartedAt = report.processStartedAt
     this.updateLeaseExpiry()
     this.observer.onReport(report, sentAt, acknowledgedEnd)
   }
