--- a/src/cluster/activeScheduler.ts
+++ b/src/cluster/activeScheduler.ts
@@ -57,7 +57,7 @@
 /** Number of the latest processed end of a worker's process. */
 interface ProcessedEnd {
   readonly number: number
-  readonly bornAt: number
+  readonly processStartedAt: number
 }
 
 /** The scheduler of the cluster during one term: follows submissions, places tasks, records progress, and sends commands to workers. */
@@ -368,14 +368,14 @@
   private processedEnds (): Map<WorkerState, ProcessedEnd> {
     const ends = new Map<WorkerState, ProcessedEnd>()
     for (const worker of this.scheduler.workers.values()) {
-      if (worker.hasUnrecordedEnds) ends.set(worker, { number: worker.processedEnd, bornAt: worker.processStartedAt })
+      if (worker.hasUnrecordedEnds) ends.set(worker, { number: worker.processedEnd, processStartedAt: worker.processStartedAt })
     }
     return ends
   }
 
   /** Allows the workers to discard ends whose effect is in the log. */
   private acknowledgeEnds (ends: ReadonlyMap<WorkerState, ProcessedEnd>): void {
-    for (const [worker, { number, bornAt }] of ends) {
+    for (const [worker, { number, processStartedAt: bornAt }] of ends) {
       // A new process of the worker numbers its ends from 1 again.
       if (bornAt !== worker.processStartedAt) continue
       worker.recordedEnd = number
