--- a/src/cluster/placementPass.ts
+++ b/src/cluster/placementPass.ts
@@ -33,7 +33,7 @@
   /** Largest number of free processors of a single worker at the start of the pass, for urgent and for other work, in thousandths. */
   private maximumFreeProcessors = { urgent: 0, other: 0 }
   /** Whether a step may use the headroom for urgent work, because it could never be placed otherwise. */
-  private readonly ignoresHeadroomOf = new Map<Step, boolean>()
+  private readonly ignoresHeadroomByStep = new Map<Step, boolean>()
 
   constructor (
     private readonly steps: Step[],
@@ -160,11 +160,11 @@
 
   /** Returns true if, beside the headroom for urgent work, a task of the step fits on no eligible worker, or its gang does not fit on all of them together. */
   private ignoresHeadroom (step: Step): boolean {
-    const cached = this.ignoresHeadroomOf.get(step)
+    const cached = this.ignoresHeadroomByStep.get(step)
     if (cached !== undefined) return cached
     const needed = step.specification.gang ? step.tasks.length : 1
     const ignores = !tasksFitWhenEmpty(this.eligibleWorkers(step), step, needed, this.headroom)
-    this.ignoresHeadroomOf.set(step, ignores)
+    this.ignoresHeadroomByStep.set(step, ignores)
     return ignores
   }
 
