--- a/src/cluster/jobService.ts
+++ b/src/cluster/jobService.ts
@@ -92,7 +92,7 @@
   async getState (identity: string, timeLimitMilliseconds: number): Promise<StateResult> {
     const final = this.finalStates.get(identity)
     if (final !== undefined) return final
-    const answer = await this.queryUntilAnswered(timeLimitMilliseconds, async timeout => {
+    const answer = await this.queryWithRetries(timeLimitMilliseconds, async timeout => {
       const getState = await this.scheduler.getJobState(identity, timeout)
       return getState === 'unsure' || (getState === 'unknown' && this.accepted.has(identity)) ? undefined : getState
     })
@@ -105,7 +105,7 @@
   /** Returns how many jobs of a queue have no started task; undefined if the active scheduler does not answer in time. */
   async countWaitingJobs (queue: string, timeLimitMilliseconds: number): Promise<number | undefined> {
     const startedAt = this.now()
-    const count = await this.queryUntilAnswered(timeLimitMilliseconds, async timeout => await this.scheduler.countWaitingJobs(queue, timeout))
+    const count = await this.queryWithRetries(timeLimitMilliseconds, async timeout => await this.scheduler.countWaitingJobs(queue, timeout))
     this.logger.info('waiting jobs asked for', { queue, count, durationMilliseconds: Math.round(this.now() - startedAt) })
     return count
   }
@@ -115,7 +115,7 @@
     return { kind: 'refused', reason, retryAfterSeconds: RETRY_AFTER_SECONDS }
   }
 
-  private async queryUntilAnswered<T> (timeLimitMilliseconds: number, query: (timeoutMilliseconds: number) => Promise<T | undefined>): Promise<T | undefined> {
+  private async queryWithRetries<T> (timeLimitMilliseconds: number, query: (timeoutMilliseconds: number) => Promise<T | undefined>): Promise<T | undefined> {
     const endsAt = this.now() + Math.min(QUERY_TIMEOUT_MILLISECONDS, timeLimitMilliseconds - RESPONSE_MARGIN_MILLISECONDS)
     while (true) {
       const left = endsAt - this.now()
