--- a/src/cluster/activeScheduler.ts
+++ b/src/cluster/activeScheduler.ts
@@ -225,9 +225,9 @@
 
   /** Fences the writers of former terms. Resolves with false if the role is lost. */
   private async fenceFormerSchedulers (): Promise<boolean> {
-    const fenced = await this.writer.fence()
-    if (fenced === 'fenced') this.options.onSuperseded()
-    return fenced === 'stored'
+    const outcome = await this.writer.fence()
+    if (outcome === 'fenced') this.options.onSuperseded()
+    return outcome === 'stored'
   }
 
   /** Reads all progress from the log; complete only once the writers of former terms are fenced. */
@@ -375,9 +375,9 @@
 
   /** Allows the workers to discard ends whose effect is in the log. */
   private acknowledgeEnds (ends: ReadonlyMap<WorkerState, ProcessedEnd>): void {
-    for (const [worker, { number, processStartedAt: bornAt }] of ends) {
+    for (const [worker, { number, processStartedAt }] of ends) {
       // A new process of the worker numbers its ends from 1 again.
-      if (bornAt !== worker.processStartedAt) continue
+      if (processStartedAt !== worker.processStartedAt) continue
       worker.recordedEnd = number
       this.sessions.get(worker.identity)?.onEndsRecorded()
     }
--- a/src/cluster/clusterInstance.ts
+++ b/src/cluster/clusterInstance.ts
@@ -26,7 +26,7 @@
 const RENEWAL_RETRY_MILLISECONDS = 400
 /** Longest time that a former scheduler keeps running after another instance has claimed the role, in milliseconds; several appends to a slow log. */
 const MAXIMUM_OVERLAP_MILLISECONDS = 3000
-/** Period of the checks whether to claim, hand over or stop the scheduler role, in milliseconds. */
+/** Period of the checks whether to claim the scheduler role, hand it over or stop the scheduler, in milliseconds. */
 const ROLE_CHECK_PERIOD_MILLISECONDS = 50
 /** Claim rank of an instance that can handle a whole core of the scheduler's work; the rank is inversely proportional to the capacity. */
 const RANK_OF_ONE_CORE = 4
@@ -133,14 +133,14 @@
     return this.scheduler !== undefined
   }
 
-  /** Whether new callers should be sent here. */
+  /** Whether the load balancer should send requests to this instance. */
   get isReady (): boolean {
     const readCompletedAt = this.configurationFollower.lastReadCompletedAt
     return !this.isStopping && this.configurationInForce !== undefined && readCompletedAt !== undefined && this.now() - readCompletedAt < UNREADY_WITHOUT_LOG_MILLISECONDS && !this.jobService.isLogUnavailable
   }
 
   /**
-   * Makes the instance report itself as not ready and resigns from the role. Requests that still arrive are served, and tasks are
+   * Starts the graceful shutdown: makes the instance report itself as not ready and resigns from the role. Requests that still arrive are served, and tasks are
    * placed until a successor has taken over.
    */
   async prepareShutdown (): Promise<void> {
--- a/src/cluster/clusterScheduler.ts
+++ b/src/cluster/clusterScheduler.ts
@@ -36,7 +36,7 @@
   readonly storedAfter?: number
 }
 
-/** A run to be stopped. */
+/** A stop command that is still to be sent. */
 export interface PendingStop {
   readonly worker: string
   readonly task: string
@@ -135,7 +135,7 @@
     if (!job.isFinal) this.finish(job, 'cancelled', undefined, now)
   }
 
-  /** Returns the stops planned since the last call. */
+  /** Returns and clears the pending stop commands. */
   takeStops (): PendingStop[] {
     const stops = this.pendingStops
     this.pendingStops = []
@@ -362,7 +362,7 @@
     task.progressedAt = now
   }
 
-  /** Plans the stop of a run that belongs to no task. The worker lists the run until it has stopped. */
+  /** Requests the stop of a run that belongs to no task. The worker lists the run until it has stopped. */
   private stopOrphanedRun (worker: WorkerState, taskName: string, run: number, now: number): void {
     worker.hasOrphanedRuns = true
     const key = `${taskName}/${run}`
@@ -478,7 +478,7 @@
     this.pendingStops.push({ worker: task.worker, task: task.name, run: task.run })
   }
 
-  /** Returns the task of a run that no longer exists to the waiting tasks. A gang is restarted as a whole. */
+  /** Releases the capacity of a run that no longer exists and lets its task wait again. A gang is restarted as a whole. */
   private abandonRun (task: Task): void {
     this.workers.get(task.worker)?.release(task)
     if (task.phase === 'done') return
--- a/src/cluster/instanceLinks.ts
+++ b/src/cluster/instanceLinks.ts
@@ -157,7 +157,7 @@
 
 async function queryOverLink (link: ClusterLink, step: string, workers: readonly string[], timeoutMilliseconds: number): Promise<EligibilityOutcome> {
   const reply = await link.sendRequest({ type: 'eligibilityQuestion', step, workers, timeoutMilliseconds }, timeoutMilliseconds + LINK_ROUND_TRIP_MILLISECONDS)
-  if (reply?.type !== 'eligibilityReply') return { kind: 'failed', reason: 'the instance did not answer' }
+  if (reply?.type !== 'eligibilityReply') return { kind: 'failed', reason: 'the instance did not respond' }
   if (reply.reason !== '') return { kind: 'failed', reason: reply.reason }
   return { kind: 'eligible', workers: reply.workers.map(([worker, ticket]) => ({ worker, ticket })), validMilliseconds: reply.validMilliseconds }
 }
--- a/src/cluster/jobService.ts
+++ b/src/cluster/jobService.ts
@@ -37,7 +37,7 @@
   countWaitingJobs (queue: string, timeoutMilliseconds: number): Promise<number | undefined>
 }
 
-/** Serves the job operations of callers: stores submissions and cancels in the log, and answers queries from the active scheduler. */
+/** Serves the job operations of callers: stores submissions and cancellations in the log, and answers queries from the active scheduler. */
 export class JobService extends DisposableObject {
   private readonly appender: SubmissionAppender
   /** Jobs that are known to be stored in the log. */
@@ -75,12 +75,12 @@
     return { kind: 'accepted' }
   }
 
-  /** Cancels a job; resolves once the cancel is stored. */
+  /** Cancels a job; resolves once the cancellation is stored. */
   async cancel (identity: string, timeLimitMilliseconds: number): Promise<CancelResult> {
     const startedAt = this.now()
     if (!this.accepted.has(identity)) {
-      const getState = await this.getState(identity, timeLimitMilliseconds)
-      if (getState === 'unknownJob' || getState === 'unavailable') return getState
+      const state = await this.getState(identity, timeLimitMilliseconds)
+      if (state === 'unknownJob' || state === 'unavailable') return state
     }
     const left = timeLimitMilliseconds - (this.now() - startedAt) - RESPONSE_MARGIN_MILLISECONDS
     if (this.appender.isStalled || left <= 0) return 'unavailable'
@@ -92,17 +92,17 @@
   async getState (identity: string, timeLimitMilliseconds: number): Promise<StateResult> {
     const final = this.finalStates.get(identity)
     if (final !== undefined) return final
-    const answer = await this.queryWithRetries(timeLimitMilliseconds, async timeout => {
-      const getState = await this.scheduler.getJobState(identity, timeout)
-      return getState === 'unsure' || (getState === 'unknown' && this.accepted.has(identity)) ? undefined : getState
+    const result = await this.queryWithRetries(timeLimitMilliseconds, async timeout => {
+      const state = await this.scheduler.getJobState(identity, timeout)
+      return state === 'unsure' || (state === 'unknown' && this.accepted.has(identity)) ? undefined : state
     })
-    if (answer === undefined) return this.accepted.has(identity) ? 'pending' : 'unavailable'
-    if (answer === 'unknown') return 'unknownJob'
-    if (isFinalState(answer as JobState)) this.finalStates.set(identity, answer as JobState)
-    return answer as JobState
+    if (result === undefined) return this.accepted.has(identity) ? 'pending' : 'unavailable'
+    if (result === 'unknown') return 'unknownJob'
+    if (isFinalState(result as JobState)) this.finalStates.set(identity, result as JobState)
+    return result as JobState
   }
 
-  /** Returns how many jobs of a queue have no started task; undefined if the active scheduler does not answer in time. */
+  /** Returns how many jobs of a queue have no started task; undefined if the active scheduler does not respond in time. */
   async countWaitingJobs (queue: string, timeLimitMilliseconds: number): Promise<number | undefined> {
     const startedAt = this.now()
     const count = await this.queryWithRetries(timeLimitMilliseconds, async timeout => await this.scheduler.countWaitingJobs(queue, timeout))
@@ -115,12 +115,13 @@
     return { kind: 'refused', reason, retryAfterSeconds: RETRY_AFTER_SECONDS }
   }
 
+  /** Repeats a query until it returns a result, for at most `QUERY_TIMEOUT_MILLISECONDS`. */
   private async queryWithRetries<T> (timeLimitMilliseconds: number, query: (timeoutMilliseconds: number) => Promise<T | undefined>): Promise<T | undefined> {
     const endsAt = this.now() + Math.min(QUERY_TIMEOUT_MILLISECONDS, timeLimitMilliseconds - RESPONSE_MARGIN_MILLISECONDS)
     while (true) {
       const left = endsAt - this.now()
-      const answer = await query(Math.max(1, left))
-      if (answer !== undefined) return answer
+      const result = await query(Math.max(1, left))
+      if (result !== undefined) return result
       if (this.now() + QUERY_RETRY_DELAY_MILLISECONDS >= endsAt || this.isDisposed) return undefined
       await delay(QUERY_RETRY_DELAY_MILLISECONDS)
     }
--- a/src/cluster/submissionAppender.ts
+++ b/src/cluster/submissionAppender.ts
@@ -23,7 +23,7 @@
 }
 
 /**
- * Appends submissions and cancels, one batch at a time, to the partitions in turn; records that arrive during an append form the next batch.
+ * Appends submissions and cancellations, one batch at a time, to the partitions in turn; records that arrive during an append form the next batch.
  * Repeating a record is harmless, so an append without a response is retried until it is stored.
  */
 export class SubmissionAppender extends DisposableObject {
--- a/src/cluster/workerPort.ts
+++ b/src/cluster/workerPort.ts
@@ -22,6 +22,10 @@
   readonly percent: number
 }
 
+/**
+ * How a run ended. `lapsed`: the lease of the worker expired. `broken`: another member of its gang ended without success.
+ * `alone`: not all members of its gang were running in time.
+ */
 export type EndKind = 'done' | 'failed' | 'stopped' | 'lapsed' | 'broken' | 'alone'
 
 /** The end of a run. `number` numbers the ends of one process of the worker consecutively from 1. */
@@ -51,7 +55,10 @@
   | { readonly kind: 'replaced' }
   | { readonly kind: 'failed', readonly reason: string }
 
-/** Outcome of a command. `unknown` means that it may be executed, now or seconds later. */
+/**
+ * Outcome of a command. `unknown` means that it may be executed, now or seconds later. Reasons of a refusal include `old`: the run,
+ * or a later run of the task, has already ended or been stopped; `late`: the lease in the command has expired; `room`: too little free capacity.
+ */
 export type CommandOutcome =
   | { readonly kind: 'done' }
   | { readonly kind: 'refused', readonly reason: 'old' | 'late' | 'room' | 'ticket' | 'unhealthy' | 'invalid' }
--- a/src/cluster/workerSession.ts
+++ b/src/cluster/workerSession.ts
@@ -19,7 +19,7 @@
 /** Receives the events of a session and provides the state that it depends on. */
 export interface WorkerSessionObserver {
   /** Called with each report. `acknowledgedEnd` is the number of the last end that the poll acknowledged. */
-  onReport (report: WorkerReport, sentAt: number, getEndToAcknowledge: number): void
+  onReport (report: WorkerReport, sentAt: number, acknowledgedEnd: number): void
   onPollFailed (reason: string): void
   /** Called once nothing can run on the worker any more. */
   onWorkerLost (): void
@@ -52,6 +52,7 @@
   private leasesEndAt: number
   private wakePollLoop: (() => void) | undefined
   private resolveRecorded: (() => void) | undefined
+  /** Whether nothing can run on the worker any more; reset by its next report. */
   private isWorkerLost = false
   /** Whether the latest poll failed. Until one succeeds, no poll extends the lease: otherwise its expiry would never be certain. */
   private hasPollFailed = false
--- a/src/cluster/workerState.ts
+++ b/src/cluster/workerState.ts
@@ -34,7 +34,7 @@
   /** Speed relative to the estimates of the tasks. */
   speed = 1
   quarantinedUntil = 0
-  /** Number of the latest processed end. */
+  /** Number of the latest end of a run that was processed; workers number their ends, see `EndReport`. */
   processedEnd = 0
   /** Number of the latest end whose effect is in the log. */
   recordedEnd = 0
--- a/src/contracts/clusterRecords.ts
+++ b/src/contracts/clusterRecords.ts
@@ -39,7 +39,7 @@
   readonly address: string
   /** Whether the holder has resigned from the role. */
   readonly resigned: boolean
-  /** Instance that should claim the role after a resignation; the others delay their claims. Empty if none was known. */
+  /** Instance that should claim the role after a resignation; the others delay their claims. Empty if no peer had a link to the holder. */
   readonly successor?: string
 }
 
