--- a/test/cluster/activeScheduler.test.ts
+++ b/test/cluster/activeScheduler.test.ts
@@ -22,7 +22,7 @@
   queues: [
     { name: 'queue', host: 'host', routePrefix: '/q/', pool: 'pool', priority: 0, attempts: 3, stretch: 2, targetMilliseconds: 500 },
     { name: 'batch', host: 'host', routePrefix: '/b/', pool: 'pool', priority: 1, attempts: 3, stretch: 2, targetMilliseconds: 500 },
-    { name: 'asked', host: 'host', routePrefix: '/a/', pool: 'pool', priority: 0, attempts: 3, stretch: 2, targetMilliseconds: 500, eligibility: { decisionMilliseconds: 1, perWorkerMilliseconds: 0, ticketMilliseconds: 2000 } }
+    { name: 'restricted', host: 'host', routePrefix: '/a/', pool: 'pool', priority: 0, attempts: 3, stretch: 2, targetMilliseconds: 500, eligibility: { decisionMilliseconds: 1, perWorkerMilliseconds: 0, ticketMilliseconds: 2000 } }
   ],
   maximumBodyBytes: 100_000
 }
@@ -98,8 +98,8 @@
   }
 
   /** Commands of unknown outcome: the state of the run is determined before its capacity or its task is used again. */
-  const ORDER_FAULTS: readonly CommandFault[] = ['answerLost', 'notDelivered', 'late', 'unhealthy']
-  for (const fault of ORDER_FAULTS) {
+  const COMMAND_FAULTS: readonly CommandFault[] = ['answerLost', 'notDelivered', 'late', 'unhealthy']
+  for (const fault of COMMAND_FAULTS) {
     it(`neither overcommits nor runs a task twice after commands with fault ${fault}`, async () => await withSite(async (site, start) => {
       const workers = ['w1', 'w2'].map(name => site.port.add(new FakeWorker(name, 1, () => 5000)))
       start(1)
@@ -123,7 +123,7 @@
     const worker = site.port.add(new FakeWorker('w1', 1, () => 100))
     const scheduler = start(1)
     worker.fault = 'ticket'
-    submit(site.log, JOB, [step()], { queue: 'asked' })
+    submit(site.log, JOB, [step()], { queue: 'restricted' })
     await site.clock.tickAsync(500)
     worker.fault = 'none'
     await site.clock.tickAsync(2000)
@@ -158,10 +158,10 @@
       const former = start(1)
       submit(site.log, JOB, [step()])
       await site.clock.tickAsync(500)
-      const holder = workers.find(worker => worker.running.size === 1)
-      assert.ok(holder)
+      const busy = workers.find(worker => worker.running.size === 1)
+      assert.ok(busy)
       former.dispose()
-      holder.isReachable = !unreachable
+      busy.isReachable = !unreachable
       const successor = start(2)
       await site.clock.tickAsync(5000)
       const starts = workers.flatMap(worker => worker.started)
@@ -173,7 +173,7 @@
     }))
   }
 
-  /** A placement is recorded before the start command is sent, so the record does not prove a start. Jobs that still waited were not counted (MIXED). */
+  /** A placement is recorded before the start command is sent, so the record does not prove a start. Guards against jobs that still wait and are not counted. */
   interface RestoredJob {
     readonly name: string
     readonly hasHappened: (site: Site, worker: FakeWorker) => boolean
@@ -264,17 +264,17 @@
     }))
   }
 
-  /** Two members of one gang run fail, the second one after a takeover. If the run counts twice, the job is shown as failed too early (LOST). */
+  /** Two members of one gang run fail, the second one after a takeover. Guards against a run that is counted twice, which shows the job as failed too early. */
   it('counts a failed run of a gang once across a takeover', async () => await withSite(async (site, start) => {
     const workers = ['w1', 'w2'].map(identity => site.port.add(new FakeWorker(identity, 1, () => Infinity)))
-    const holderOf = (task: string): FakeWorker => workers.find(worker => worker.running.has(task)) as FakeWorker
+    const workerRunning = (task: string): FakeWorker => workers.find(worker => worker.running.has(task)) as FakeWorker
     const [member, other] = [`${JOB}.0.0.0`, `${JOB}.0.0.1`]
     const former = start(1)
     submit(site.log, JOB, [step({ count: 2, gang: true })])
     await site.clock.tickAsync(500)
-    const unreachable = holderOf(other)
+    const unreachable = workerRunning(other)
     unreachable.isReachable = false
-    holderOf(member).endIfRunning(member, 1, 'failed')
+    workerRunning(member).endIfRunning(member, 1, 'failed')
     await site.clock.tickAsync(200)
     unreachable.endIfRunning(other, 1, 'failed')
     former.dispose()
@@ -283,7 +283,7 @@
     for (const run of [2, 3]) {
       await site.clock.tickAsync(1000)
       assert.equal(successor.stateOf(JOB), 'running')
-      holderOf(member).endIfRunning(member, run, 'failed')
+      workerRunning(member).endIfRunning(member, run, 'failed')
     }
     await site.clock.tickAsync(1000)
     assert.equal(successor.stateOf(JOB), 'failed')
@@ -365,7 +365,7 @@
     assert.equal(scheduler.stateOf('00000000000000bb'), 'completed')
   }))
 
-  /** Retention starts at the takeover. A job that had finished before was evicted at once, so that an accepted job was unknown (LOST). */
+  /** Retention starts at the takeover. Guards against a job that had finished before and is evicted at once, which makes an accepted job unknown. */
   it('keeps the state of a job that finished before a takeover', async () => await withSite(async (site, start) => {
     site.port.add(new FakeWorker('w1', 1, () => 500))
     await site.clock.tickAsync(2 * BOUNDS.stateRetentionMilliseconds)
@@ -379,7 +379,7 @@
     assert.equal(successor.stateOf(JOB), 'completed')
   }))
 
-  /** The next scheduler treats a submission without progress in the log as a new job and starts a finished task again (TWICE). */
+  /** The next scheduler treats a submission without progress in the log as a new job and starts a finished task again. */
   const REMAINING_COPIES: ReadonlyArray<{ readonly name: string, readonly hasCopy: boolean, readonly isRefused: boolean }> = [
     { name: 'that was submitted through two instances', hasCopy: true, isRefused: false },
     { name: 'whose deletion the log refused at first', hasCopy: false, isRefused: true }
--- a/test/cluster/clusterScheduler.test.ts
+++ b/test/cluster/clusterScheduler.test.ts
@@ -28,8 +28,8 @@
 
 describe('ClusterScheduler', () => {
   /**
-   * A job keeps the policy of its queue while the queue is not configured. Otherwise the job fails at the first failure of a task
-   * (LOST), start commands without a ticket are sent repeatedly, and urgent work is placed last.
+   * A job keeps the policy of its queue while the queue is not configured. Otherwise the job fails at the first failure of a task,
+   * start commands without a ticket are sent repeatedly, and urgent work is placed last.
    */
   const CONFIGURATIONS: ReadonlyArray<{ readonly name: string, readonly before: ClusterConfiguration, readonly after: ClusterConfiguration }> = [
     { name: 'is configured', before: configuration(1, [QUEUE]), after: configuration(2, [QUEUE]) },
--- a/test/cluster/submissionAppender.test.ts
+++ b/test/cluster/submissionAppender.test.ts
@@ -23,7 +23,7 @@
       log.fault = fault
       setTimeout(() => { log.fault = 'none' }, faultMilliseconds)
       let result: SubmissionOutcome | undefined
-      appender.append({ key: 'a', value: Buffer.from('a') }, TIMEOUT_MILLISECONDS).then(answer => { result = answer })
+      appender.append({ key: 'a', value: Buffer.from('a') }, TIMEOUT_MILLISECONDS).then(outcome => { result = outcome })
       await clock.tickAsync(withinMilliseconds)
       assert.equal(result, outcome)
       assert.equal(log.latestValue(TOPICS.submissions, 'a') !== undefined, stored)
@@ -34,7 +34,7 @@
   it('refuses records queued behind an append without a response', async () => await withAppender(async (clock, log, appender) => {
     log.fault = 'silent'
     const results = new Map<string, SubmissionOutcome>()
-    for (const key of ['a', 'b']) appender.append({ key, value: Buffer.from(key) }, TIMEOUT_MILLISECONDS).then(answer => results.set(key, answer))
+    for (const key of ['a', 'b']) appender.append({ key, value: Buffer.from(key) }, TIMEOUT_MILLISECONDS).then(outcome => results.set(key, outcome))
     await clock.tickAsync(500)
     assert.deepEqual([...results], [['b', 'refused']])
     assert.ok(appender.isStalled)
--- a/test/platform/adapter.test.ts
+++ b/test/platform/adapter.test.ts
@@ -202,7 +202,7 @@
   })
 
   it('decodes a report', async () => {
-    respond = json(200, { clockMs: 50, born: 5, running: [['a.0.0.1', 2, 'saved', 41, 300]], ended: [[8, 'a.0.0.2', 1, 'done', ''], [9, 'a.0.0.3', 1, 'unheard', '']] })
+    respond = json(200, { clockMs: 50, born: 5, running: [['a.0.0.1', 2, 'saved', 41, 300]], ended: [[8, 'a.0.0.2', 1, 'done', ''], [9, 'a.0.0.3', 1, 'unexpected', '']] })
     assert.deepEqual(await new PlatformWorkerClient(http).poll(worker(), { term: 7, acknowledgedEnd: 0, isInSequence: false, waitMilliseconds: 0 }), {
       kind: 'report',
       acknowledgedEnd: 0,
@@ -248,19 +248,19 @@
     assert.equal((await longPoll).kind, 'report')
   })
 
-  it('sends nothing over a new connection when the call requires the open one and that is closed before the call is sent', async () => {
-    let calls = 0
+  it('sends nothing over a new connection when the request requires the open one and that is closed before the request is sent', async () => {
+    let requests = 0
     respond = (_request, _body, response) => {
-      calls += 1
+      requests += 1
       response.end('{}')
     }
-    const call = { method: 'POST', path: '/', channel: 'test', timeoutMilliseconds: 1000 } as const
-    assert.equal((await http.request(address, call)).kind, 'answer')
+    const options = { method: 'POST', path: '/', channel: 'test', timeoutMilliseconds: 1000 } as const
+    assert.equal((await http.request(address, options)).kind, 'answer')
     server.closeAllConnections()
     // The connection is closed, but the client has not noticed it yet.
-    assert.notEqual((await http.request(address, { ...call, requiresOpenConnection: true })).kind, 'answer')
-    assert.equal(calls, 1)
-    assert.equal((await http.request(address, { ...call, requiresOpenConnection: true })).kind, 'notSent')
+    assert.notEqual((await http.request(address, { ...options, requiresOpenConnection: true })).kind, 'answer')
+    assert.equal(requests, 1)
+    assert.equal((await http.request(address, { ...options, requiresOpenConnection: true })).kind, 'notSent')
   })
 
   it('decodes the eligible workers returned by the eligibility service', async () => {
@@ -293,7 +293,7 @@
   }
 
   it('decodes a job and applies defaults to missing fields', () => {
-    const decoded = decodeJob(JSON.stringify({ spec: 's', times: 3, firstMs: 10, intervalMs: 20, steps: [step, { ...step, after: [0], gang: true, fills: true, maxPerServer: 1, mayMiss: 2, unheard: 1 }] }))
+    const decoded = decodeJob(JSON.stringify({ spec: 's', times: 3, firstMs: 10, intervalMs: 20, steps: [step, { ...step, after: [0], gang: true, fills: true, maxPerServer: 1, mayMiss: 2, unexpected: 1 }] }))
     assert.equal(decoded.kind, 'job')
     if (decoded.kind !== 'job') return
     assert.deepEqual([decoded.job.occurrences, decoded.job.firstDueMilliseconds, decoded.job.intervalMilliseconds], [3, 10, 20])
@@ -339,7 +339,7 @@
 zone = "a"
 portRange = [7720, 7735]
 advice = "10.0.0.1:1"
-unheard = true
+unexpected = true
 [listen]
 front = "127.0.0.1:1"
 ready = "127.0.0.1:2"
--- a/test/platform/gracefulShutdown.test.ts
+++ b/test/platform/gracefulShutdown.test.ts
@@ -93,8 +93,8 @@
       instance.process.kill('SIGTERM')
       const [status] = await exited
       await callers.stop()
-      const { brokenOnReusedConnection: brokenKept, brokenOnNewConnection: brokenFresh, errors } = callers.counts
-      assert.deepEqual({ brokenKept, brokenFresh, errors }, { brokenKept: 0, brokenFresh: 0, errors: {} })
+      const { brokenOnReusedConnection, brokenOnNewConnection, errors } = callers.counts
+      assert.deepEqual({ brokenOnReusedConnection, brokenOnNewConnection, errors }, { brokenOnReusedConnection: 0, brokenOnNewConnection: 0, errors: {} })
       assert.equal(status, 0)
     } finally {
       await callers.stop()
