--- a/src/cluster/jobService.ts
+++ b/src/cluster/jobService.ts
@@ -37,7 +37,7 @@
   countWaitingJobs (queue: string, timeoutMilliseconds: number): Promise<number | undefined>
 }
 
-/** Serves the job operations of callers: stores submissions and cancellations in the log, and answers queries from the active scheduler. */
+/** Serves the job operations of callers: stores submissions and cancellations in the log, and obtains job states and counts from the active scheduler. */
 export class JobService extends DisposableObject {
   private readonly appender: SubmissionAppender
   /** Jobs that are known to be stored in the log. */
