--- a/src/cluster/activeScheduler.ts
+++ b/src/cluster/activeScheduler.ts
@@ -7,7 +7,7 @@
 import type { ClusterBounds } from '../contracts/clusterSettings.js'
 import type { JobState } from '../contracts/stepJob.js'
 import type { ClusterMetrics } from './clusterMetrics.js'
-import { ClusterScheduler, type PlannedStop, type SchedulerObserver } from './clusterScheduler.js'
+import { ClusterScheduler, type PendingStop, type SchedulerObserver } from './clusterScheduler.js'
 import { EligibilityRequester, type EligibilityRequestResult, type EligibilityChannel } from './eligibilityRequester.js'
 import { discardTicket, toProgressRecord, type Job, type Task } from './job.js'
 import { JobRetention } from './jobRetention.js'
@@ -57,7 +57,7 @@
 /** Number of the latest processed end of a worker's process. */
 interface ProcessedEnd {
   readonly number: number
-  readonly bornAt: number
+  readonly processStartedAt: number
 }
 
 /** The scheduler of the cluster during one term: follows submissions, places tasks, records progress, and sends commands to workers. */
@@ -225,9 +225,9 @@
 
   /** Fences the writers of former terms. Resolves with false if the role is lost. */
   private async fenceFormerSchedulers (): Promise<boolean> {
-    const fenced = await this.writer.fence()
-    if (fenced === 'fenced') this.options.onSuperseded()
-    return fenced === 'stored'
+    const outcome = await this.writer.fence()
+    if (outcome === 'fenced') this.options.onSuperseded()
+    return outcome === 'stored'
   }
 
   /** Reads all progress from the log; complete only once the writers of former terms are fenced. */
@@ -368,22 +368,22 @@
   private processedEnds (): Map<WorkerState, ProcessedEnd> {
     const ends = new Map<WorkerState, ProcessedEnd>()
     for (const worker of this.scheduler.workers.values()) {
-      if (worker.hasUnrecordedEnds) ends.set(worker, { number: worker.processedEnd, bornAt: worker.processStartedAt })
+      if (worker.hasUnrecordedEnds) ends.set(worker, { number: worker.processedEnd, processStartedAt: worker.processStartedAt })
     }
     return ends
   }
 
   /** Allows the workers to discard ends whose effect is in the log. */
   private acknowledgeEnds (ends: ReadonlyMap<WorkerState, ProcessedEnd>): void {
-    for (const [worker, { number, bornAt }] of ends) {
+    for (const [worker, { number, processStartedAt }] of ends) {
       // A new process of the worker numbers its ends from 1 again.
-      if (bornAt !== worker.processStartedAt) continue
+      if (processStartedAt !== worker.processStartedAt) continue
       worker.recordedEnd = number
       this.sessions.get(worker.identity)?.onEndsRecorded()
     }
   }
 
-  private sendStops (stops: readonly PlannedStop[]): void {
+  private sendStops (stops: readonly PendingStop[]): void {
     for (const { worker, task, run } of stops) this.sessions.get(worker)?.stop(task, run)
   }
 
--- a/src/cluster/clusterScheduler.ts
+++ b/src/cluster/clusterScheduler.ts
@@ -36,8 +36,8 @@
   readonly storedAfter?: number
 }
 
-/** A run to be stopped. */
-export interface PlannedStop {
+/** A stop command that is still to be sent. */
+export interface PendingStop {
   readonly worker: string
   readonly task: string
   readonly run: number
@@ -58,7 +58,7 @@
   private readonly cancelledBeforeAdd = new Set<string>()
   /** Capacity reserved for urgent work. */
   readonly headroom = new UrgentHeadroom()
-  private plannedStops: PlannedStop[] = []
+  private pendingStops: PendingStop[] = []
   private configuration: ClusterConfiguration | undefined
   private readonly queues = new Map<string, Queue>()
 
@@ -135,10 +135,10 @@
     if (!job.isFinal) this.finish(job, 'cancelled', undefined, now)
   }
 
-  /** Returns the stops planned since the last call. */
-  takeStops (): PlannedStop[] {
-    const stops = this.plannedStops
-    this.plannedStops = []
+  /** Returns and clears the pending stop commands. */
+  takeStops (): PendingStop[] {
+    const stops = this.pendingStops
+    this.pendingStops = []
     return stops
   }
 
@@ -187,7 +187,7 @@
       return
     }
     if (outcome === 'notStarted') {
-      this.giveUpRun(task)
+      this.abandonRun(task)
       return
     }
     this.onRunning(task, now)
@@ -204,11 +204,11 @@
     const worker = this.workers.get(identity)
     if (worker === undefined) return
     // A delayed report of a former process: a later poll has already reached the current process.
-    if (report.bornAt !== worker.processStartedAt && sentAt < worker.processSeenAt) return
+    if (report.processStartedAt !== worker.processStartedAt && sentAt < worker.processSeenAt) return
     const isFirst = !worker.hasReported
-    if (report.bornAt !== worker.processStartedAt) {
+    if (report.processStartedAt !== worker.processStartedAt) {
       if (!isFirst) this.onWorkerRestarted(worker)
-      worker.processStartedAt = report.bornAt
+      worker.processStartedAt = report.processStartedAt
     }
     worker.processSeenAt = Math.max(worker.processSeenAt, sentAt)
     worker.hasReported = true
@@ -229,7 +229,7 @@
       if (listed.has(task.name)) continue
       if (!this.isRunAbsent(task, isFirst, sentAt)) continue
       this.observer.onDidLoseRun(worker, task)
-      this.giveUpRun(task)
+      this.abandonRun(task)
     }
   }
 
@@ -243,7 +243,7 @@
   onWorkerLost (identity: string): void {
     const worker = this.workers.get(identity)
     if (worker === undefined) return
-    for (const task of [...worker.runs.values()]) this.giveUpRun(task)
+    for (const task of [...worker.runs.values()]) this.abandonRun(task)
     if (!worker.isListed) this.workers.delete(identity)
   }
 
@@ -316,7 +316,7 @@
 
   private addUnlistedWorker (task: Task): WorkerState {
     const worker = new WorkerState({
-      identity: task.worker, pool: task.step.job.submission.pool, address: '', failureDomain: '', state: 'draining', processorsThousandths: 0, memoryMegabytes: 0, accelerators: 0, labels: [], bornAt: 0
+      identity: task.worker, pool: task.step.job.submission.pool, address: '', failureDomain: '', state: 'draining', processorsThousandths: 0, memoryMegabytes: 0, accelerators: 0, labels: [], processStartedAt: 0
     })
     worker.isListed = false
     this.workers.set(task.worker, worker)
@@ -362,7 +362,7 @@
     task.progressedAt = now
   }
 
-  /** Plans the stop of a run that belongs to no task. The worker lists the run until it has stopped. */
+  /** Requests the stop of a run that belongs to no task. The worker lists the run until it has stopped. */
   private stopOrphanedRun (worker: WorkerState, taskName: string, run: number, now: number): void {
     worker.hasOrphanedRuns = true
     const key = `${taskName}/${run}`
@@ -370,7 +370,7 @@
     if (requestedAt !== undefined && now - requestedAt < ORPHAN_STOP_RETRY_MILLISECONDS) return
     worker.orphanStopTimes.set(key, now)
     this.observer.onDidFindOrphanedRun(worker, taskName, run)
-    this.plannedStops.push({ worker: worker.identity, task: taskName, run })
+    this.pendingStops.push({ worker: worker.identity, task: taskName, run })
   }
 
   /** Returns true if a task was completed by this run, as shown earlier by the end of another gang member or by a later report. */
@@ -415,7 +415,7 @@
       return
     }
     if (end.kind === 'failed' && worker.recordFailure(job.identity, now)) this.observer.onDidQuarantine(worker)
-    this.giveUpRun(task)
+    this.abandonRun(task)
     if (end.kind === 'failed' && !job.isFinal && !task.step.specification.longRunning) this.onFailure(task, now)
   }
 
@@ -475,11 +475,11 @@
     }
     if (!task.hasRun || task.phase === 'stopping') return
     task.phase = 'stopping'
-    this.plannedStops.push({ worker: task.worker, task: task.name, run: task.run })
+    this.pendingStops.push({ worker: task.worker, task: task.name, run: task.run })
   }
 
-  /** Returns the task of a run that no longer exists to the waiting tasks. A gang is restarted as a whole. */
-  private giveUpRun (task: Task): void {
+  /** Releases the capacity of a run that no longer exists and lets its task wait again. A gang is restarted as a whole. */
+  private abandonRun (task: Task): void {
     this.workers.get(task.worker)?.release(task)
     if (task.phase === 'done') return
     this.returnToWaiting(task)
--- a/src/cluster/workerSession.ts
+++ b/src/cluster/workerSession.ts
@@ -19,10 +19,10 @@
 /** Receives the events of a session and provides the state that it depends on. */
 export interface WorkerSessionObserver {
   /** Called with each report. `acknowledgedEnd` is the number of the last end that the poll acknowledged. */
-  onReport (report: WorkerReport, sentAt: number, getEndToAcknowledge: number): void
+  onReport (report: WorkerReport, sentAt: number, acknowledgedEnd: number): void
   onPollFailed (reason: string): void
   /** Called once nothing can run on the worker any more. */
-  onWorkerEnded (): void
+  onWorkerLost (): void
   /** Called when the worker has accepted a greater term. */
   onFenced (): void
   /** Called when a stop was confirmed; a poll sent from now on shows whether the run has ended. */
@@ -52,11 +52,12 @@
   private leasesEndAt: number
   private wakePollLoop: (() => void) | undefined
   private resolveRecorded: (() => void) | undefined
-  private hasEnded = false
+  /** Whether nothing can run on the worker any more; reset by its next report. */
+  private isWorkerLost = false
   /** Whether the latest poll failed. Until one succeeds, no poll extends the lease: otherwise its expiry would never be certain. */
   private hasPollFailed = false
   /** Start time of the worker process that sent the latest report; undefined before the first report. */
-  private bornAt: number | undefined
+  private processStartedAt: number | undefined
 
   constructor (
     private worker: WorkerAddress,
@@ -108,7 +109,7 @@
 
   /** Sends a stop until the worker confirms it, nothing can run on the worker any more, or the session is disposed. */
   async stop (task: string, run: number): Promise<void> {
-    while (!this.isDisposed && !this.hasEnded) {
+    while (!this.isDisposed && !this.isWorkerLost) {
       const outcome = await this.port.stop(this.worker, task, run, this.options.term)
       this.onCommandOutcome(outcome)
       if (this.isDisposed || outcome.kind === 'fenced') return
@@ -178,7 +179,7 @@
         this.observer.onFenced()
         return
       case 'replaced':
-        this.markEnded()
+        this.markWorkerLost()
         return
       case 'failed':
         this.observer.onPollFailed(outcome.reason)
@@ -186,14 +187,14 @@
   }
 
   private onReport (report: WorkerReport, sentAt: number, acknowledgedEnd: number): void {
-    this.hasEnded = false
-    const isNewProcess = report.bornAt !== this.bornAt
+    this.isWorkerLost = false
+    const isNewProcess = report.processStartedAt !== this.processStartedAt
     if (isNewProcess || this.clock === undefined || report.clockMilliseconds > this.clock.worker) {
       this.clock = { worker: report.clockMilliseconds, local: this.now() }
     }
     // Leases granted by former schedulers, or on the clock of a former process, expire at the latest a full lease from now.
     if (isNewProcess) this.latestLeaseEnd = report.clockMilliseconds + this.options.leaseMilliseconds
-    this.bornAt = report.bornAt
+    this.processStartedAt = report.processStartedAt
     this.updateLeaseExpiry()
     this.observer.onReport(report, sentAt, acknowledgedEnd)
   }
@@ -213,19 +214,19 @@
   }
 
   private checkLeaseExpiry (): void {
-    if (this.hasEnded || this.now() < this.leasesEndAt) return
-    this.markEnded()
+    if (this.isWorkerLost || this.now() < this.leasesEndAt) return
+    this.markWorkerLost()
   }
 
-  private markEnded (): void {
-    if (this.hasEnded) return
-    this.hasEnded = true
-    this.observer.onWorkerEnded()
+  private markWorkerLost (): void {
+    if (this.isWorkerLost) return
+    this.isWorkerLost = true
+    this.observer.onWorkerLost()
   }
 
   private onCommandOutcome (outcome: CommandOutcome): void {
     if (this.isDisposed) return
     if (outcome.kind === 'fenced') this.observer.onFenced()
-    if (outcome.kind === 'replaced') this.markEnded()
+    if (outcome.kind === 'replaced') this.markWorkerLost()
   }
 }
--- a/src/cluster/workerSessions.ts
+++ b/src/cluster/workerSessions.ts
@@ -55,7 +55,7 @@
       {
         onReport: (report, sentAt, acknowledgedEnd) => this.onReport(identity, report, sentAt, acknowledgedEnd),
         onPollFailed: reason => this.onPollFailed(identity, reason),
-        onWorkerEnded: () => this.onWorkerEnded(identity),
+        onWorkerLost: () => this.onWorkerLost(identity),
         onFenced: () => this.onFenced(identity),
         onStopConfirmed: (task, run) => this.scheduler.onStopConfirmed(identity, task, run, this.now()),
         hasUnrecordedEnds: () => this.hasUnrecordedEnds(identity),
@@ -92,7 +92,7 @@
     if (worker === undefined) return
     if (worker.isUnresponsive) this.logger.info('worker answers again', { worker: identity })
     this.metrics.pollCompleted('report')
-    if (report.bornAt === worker.processStartedAt) worker.acknowledgedEnd = Math.max(worker.acknowledgedEnd, acknowledgedEnd)
+    if (report.processStartedAt === worker.processStartedAt) worker.acknowledgedEnd = Math.max(worker.acknowledgedEnd, acknowledgedEnd)
     this.scheduler.onReport(identity, report, sentAt, this.now())
     this.options.onDidChange()
   }
@@ -105,7 +105,7 @@
     this.scheduler.onPollFailed(identity)
   }
 
-  private onWorkerEnded (identity: string): void {
+  private onWorkerLost (identity: string): void {
     const worker = this.scheduler.workers.get(identity)
     if (worker === undefined) return
     this.logger.info('nothing can run on a worker any more', { worker: identity, count: worker.runs.size })
