--- a/test/cluster/activeScheduler.test.ts
+++ b/test/cluster/activeScheduler.test.ts
@@ -11,7 +11,7 @@
 import type { ClusterConfiguration } from '../../src/contracts/clusterConfiguration.js'
 import { encodeRecord } from '../../src/contracts/clusterRecords.js'
 import { stepJobSchema } from '../../src/contracts/stepJob.js'
-import { FakeWorker, FakeWorkerPort, type CommandFault } from '../fakes/fakeClusterWorkers.js'
+import { FakeClusterWorker, FakeWorkerPort, type CommandFault } from '../fakes/fakeClusterWorkers.js'
 import { FakeRecordLog, type LogFault } from '../fakes/fakeRecordLog.js'
 import { itUnlessKnownRed } from '../knownRed.js'
 
@@ -85,7 +85,7 @@
   ]
   for (const shape of SHAPES) {
     it(`completes ${shape.name}`, async () => await withSite(async (site, start) => {
-      const workers = [site.port.add(new FakeWorker('w1', 2, () => 1000)), site.port.add(new FakeWorker('w2', 2, () => 1000))]
+      const workers = [site.port.add(new FakeClusterWorker('w1', 2, () => 1000)), site.port.add(new FakeClusterWorker('w2', 2, () => 1000))]
       const scheduler = start(1)
       submit(site.log, JOB, shape.steps)
       await site.clock.tickAsync(9000)
@@ -101,7 +101,7 @@
   const ORDER_FAULTS: readonly CommandFault[] = ['answerLost', 'notDelivered', 'late', 'unhealthy']
   for (const fault of ORDER_FAULTS) {
     it(`neither overcommits nor runs a task twice after commands with fault ${fault}`, async () => await withSite(async (site, start) => {
-      const workers = ['w1', 'w2'].map(name => site.port.add(new FakeWorker(name, 1, () => 5000)))
+      const workers = ['w1', 'w2'].map(name => site.port.add(new FakeClusterWorker(name, 1, () => 5000)))
       start(1)
       await site.clock.tickAsync(100)
       for (const worker of workers) worker.fault = fault
@@ -120,7 +120,7 @@
 
   /** With a slow log, tickets expire before the commands are sent. Without another request, the step could never use the worker again. */
   it('requests a new ticket for a worker that has refused one', async () => await withSite(async (site, start) => {
-    const worker = site.port.add(new FakeWorker('w1', 1, () => 100))
+    const worker = site.port.add(new FakeClusterWorker('w1', 1, () => 100))
     const scheduler = start(1)
     worker.fault = 'ticket'
     submit(site.log, JOB, [step()], { queue: 'asked' })
@@ -132,7 +132,7 @@
 
   /** A stop refused by an unhealthy worker has no effect: an earlier start may still be executed. */
   it('repeats a stop that was refused as unhealthy', async () => await withSite(async (site, start) => {
-    const first = site.port.add(new FakeWorker('w1', 1, () => 5000))
+    const first = site.port.add(new FakeClusterWorker('w1', 1, () => 5000))
     start(1)
     await site.clock.tickAsync(100)
     first.fault = 'late'
@@ -140,7 +140,7 @@
     await site.clock.tickAsync(300)
     first.fault = 'unhealthy'
     await site.clock.tickAsync(1500)
-    const second = site.port.add(new FakeWorker('w2', 1, () => 5000))
+    const second = site.port.add(new FakeClusterWorker('w2', 1, () => 5000))
     first.fault = 'none'
     await site.clock.tickAsync(4000)
     assert.deepEqual(first.overcommitted, [])
@@ -154,7 +154,7 @@
   ]
   for (const { name, unreachable, waits } of TAKEOVERS) {
     it(`${name}`, async () => await withSite(async (site, start) => {
-      const workers = ['w1', 'w2'].map(identity => site.port.add(new FakeWorker(identity, 1, () => 4000)))
+      const workers = ['w1', 'w2'].map(identity => site.port.add(new FakeClusterWorker(identity, 1, () => 4000)))
       const former = start(1)
       submit(site.log, JOB, [step()])
       await site.clock.tickAsync(500)
@@ -176,7 +176,7 @@
   /** A placement is recorded before the start command is sent, so the record does not prove a start. Jobs that still waited were not counted (MIXED). */
   interface RestoredJob {
     readonly name: string
-    readonly hasHappened: (site: Site, worker: FakeWorker) => boolean
+    readonly hasHappened: (site: Site, worker: FakeClusterWorker) => boolean
     readonly isWorkerSilent?: boolean
     readonly waiting: number
     readonly state: string
@@ -190,7 +190,7 @@
   ]
   for (const { name, hasHappened, isWorkerSilent, waiting, state } of RESTORED_JOBS) {
     itUnlessKnownRed(`counts ${waiting} waiting jobs after a takeover with a job ${name}`, async () => await withSite(async (site, start) => {
-      const worker = site.port.add(new FakeWorker('w1', 1, () => 1000))
+      const worker = site.port.add(new FakeClusterWorker('w1', 1, () => 1000))
       const former = start(1)
       await site.clock.tickAsync(100)
       site.log.responseMilliseconds = 200
@@ -212,7 +212,7 @@
 
   /** Polls of an unresponsive worker continue; they must not extend its leases forever. */
   it('runs tasks elsewhere once the leases of a worker that never responds again have expired', async () => await withSite(async (site, start) => {
-    const workers = ['w1', 'w2'].map(identity => site.port.add(new FakeWorker(identity, 2, () => 3000)))
+    const workers = ['w1', 'w2'].map(identity => site.port.add(new FakeClusterWorker(identity, 2, () => 3000)))
     const scheduler = start(1)
     submit(site.log, JOB, [step({ count: 3, gang: true })])
     await site.clock.tickAsync(1000)
@@ -228,7 +228,7 @@
   }))
 
   it('abandons the runs of a worker that stays unreachable', async () => await withSite(async (site, start) => {
-    const workers = ['w1', 'w2'].map(identity => site.port.add(new FakeWorker(identity, 1, () => 3000)))
+    const workers = ['w1', 'w2'].map(identity => site.port.add(new FakeClusterWorker(identity, 1, () => 3000)))
     const scheduler = start(1)
     submit(site.log, JOB, [step()])
     await site.clock.tickAsync(1000)
@@ -240,7 +240,7 @@
   }))
 
   it('fails a job once one task has failed as often as its queue allows', async () => await withSite(async (site, start) => {
-    const workers = ['w1', 'w2', 'w3'].map(identity => site.port.add(new FakeWorker(identity, 2, () => 200)))
+    const workers = ['w1', 'w2', 'w3'].map(identity => site.port.add(new FakeClusterWorker(identity, 2, () => 200)))
     for (const worker of workers) worker.endKind = 'failed'
     const scheduler = start(1)
     submit(site.log, JOB, [step()])
@@ -253,7 +253,7 @@
   const CLOCK_OFFSETS: readonly number[] = [-20_000, 0, 20_000]
   for (const offset of CLOCK_OFFSETS) {
     it(`places urgent work before batch work when the clock of the accepting instance is off by ${offset} ms`, async () => await withSite(async (site, start) => {
-      const worker = site.port.add(new FakeWorker('w1', 1, () => 1000))
+      const worker = site.port.add(new FakeClusterWorker('w1', 1, () => 1000))
       start(1)
       await site.clock.tickAsync(100)
       submit(site.log, '00000000000000bb', [step({ count: 4 })], { queue: 'batch' })
@@ -266,8 +266,8 @@
 
   /** Two members of one gang run fail, the second one after a takeover. If the run counts twice, the job is shown as failed too early (LOST). */
   it('counts a failed run of a gang once across a takeover', async () => await withSite(async (site, start) => {
-    const workers = ['w1', 'w2'].map(identity => site.port.add(new FakeWorker(identity, 1, () => Infinity)))
-    const holderOf = (task: string): FakeWorker => workers.find(worker => worker.running.has(task)) as FakeWorker
+    const workers = ['w1', 'w2'].map(identity => site.port.add(new FakeClusterWorker(identity, 1, () => Infinity)))
+    const holderOf = (task: string): FakeClusterWorker => workers.find(worker => worker.running.has(task)) as FakeClusterWorker
     const [member, other] = [`${JOB}.0.0.0`, `${JOB}.0.0.1`]
     const former = start(1)
     submit(site.log, JOB, [step({ count: 2, gang: true })])
@@ -290,8 +290,8 @@
   }))
 
   it('places nothing on a draining worker, and repeats the runs of a restarted one', async () => await withSite(async (site, start) => {
-    const draining = site.port.add(new FakeWorker('w1', 2, () => 1000))
-    const remaining = site.port.add(new FakeWorker('w2', 2, () => 1000))
+    const draining = site.port.add(new FakeClusterWorker('w1', 2, () => 1000))
+    const remaining = site.port.add(new FakeClusterWorker('w2', 2, () => 1000))
     const scheduler = start(1)
     await site.clock.tickAsync(100)
     draining.state = 'draining'
@@ -307,7 +307,7 @@
 
   /** An idle worker is not polled, so its restart is detected only after the next start. */
   it('keeps a run started on a worker that was restarted while idle', async () => await withSite(async (site, start) => {
-    const worker = site.port.add(new FakeWorker('w1', 2, () => 500))
+    const worker = site.port.add(new FakeClusterWorker('w1', 2, () => 500))
     const scheduler = start(1)
     submit(site.log, JOB, [step()])
     await site.clock.tickAsync(3000)
@@ -322,7 +322,7 @@
 
   /** A former scheduler continues to place jobs until it is fenced, including jobs that its successor has not read yet. */
   it('adopts the runs of a job that was accepted and placed during the takeover', async () => await withSite(async (site, start) => {
-    const worker = site.port.add(new FakeWorker('w1', 4, () => 4000))
+    const worker = site.port.add(new FakeClusterWorker('w1', 4, () => 4000))
     start(1)
     await site.clock.tickAsync(100)
     site.log.appendMilliseconds = 100
@@ -338,7 +338,7 @@
 
   /** A job that the successor has not read yet may already be completed when the former scheduler is fenced. */
   it('does not repeat a job that was accepted and completed during the takeover', async () => await withSite(async (site, start) => {
-    const worker = site.port.add(new FakeWorker('w1', 4, () => 20))
+    const worker = site.port.add(new FakeClusterWorker('w1', 4, () => 20))
     start(1)
     await site.clock.tickAsync(100)
     site.log.appendMilliseconds = 200
@@ -352,7 +352,7 @@
   }))
 
   it('deletes a finished job from the log after its retention period, beside other writes', async () => await withSite(async (site, start) => {
-    site.port.add(new FakeWorker('w1', 2, () => 500))
+    site.port.add(new FakeClusterWorker('w1', 2, () => 500))
     const scheduler = start(1)
     submit(site.log, JOB, [step()])
     await site.clock.tickAsync(119_000)
@@ -367,7 +367,7 @@
 
   /** Retention starts at the takeover. A job that had finished before was evicted at once, so that an accepted job was unknown (LOST). */
   it('keeps the state of a job that finished before a takeover', async () => await withSite(async (site, start) => {
-    site.port.add(new FakeWorker('w1', 1, () => 500))
+    site.port.add(new FakeClusterWorker('w1', 1, () => 500))
     await site.clock.tickAsync(2 * BOUNDS.stateRetentionMilliseconds)
     const former = start(1)
     submit(site.log, JOB, [step()])
@@ -386,7 +386,7 @@
   ]
   for (const { name, hasCopy, isRefused } of REMAINING_COPIES) {
     it(`does not repeat, after its retention period and a takeover, a job ${name}`, async () => await withSite(async (site, start) => {
-      const worker = site.port.add(new FakeWorker('w1', 2, () => 500))
+      const worker = site.port.add(new FakeClusterWorker('w1', 2, () => 500))
       const former = start(1)
       const partitions = hasCopy ? [0, 1] : [0]
       const value = encodeRecord({ queue: 'queue', pool: 'pool', job: stepJobSchema.parse({ specification: 'text', steps: [step()] }), acceptedAt: Date.now() })
@@ -406,7 +406,7 @@
   }
 
   it('is superseded by a later term and sends no more commands', async () => await withSite(async (site, start) => {
-    const worker = site.port.add(new FakeWorker('w1', 4, () => 1000))
+    const worker = site.port.add(new FakeClusterWorker('w1', 4, () => 1000))
     start(1)
     await site.clock.tickAsync(100)
     start(2)
@@ -419,7 +419,7 @@
 
   /** Runs of a job that is final in the log still use capacity until they have stopped. */
   it('places nothing beside the runs of a cancelled job that it takes over', async () => await withSite(async (site, start) => {
-    const worker = site.port.add(new FakeWorker('w1', 1, () => 10_000))
+    const worker = site.port.add(new FakeClusterWorker('w1', 1, () => 10_000))
     const former = start(1)
     submit(site.log, JOB, [step()])
     await site.clock.tickAsync(500)
@@ -439,7 +439,7 @@
 
   /** A stop takes up to a second. Although the run is listed meanwhile, the stop must not be repeated, nor the worker polled in a tight loop. */
   it('sends one stop command for an orphaned run', async () => await withSite(async (site, start) => {
-    const worker = site.port.add(new FakeWorker('w1', 1, () => 10_000))
+    const worker = site.port.add(new FakeClusterWorker('w1', 1, () => 10_000))
     const former = start(1)
     submit(site.log, JOB, [step()])
     await site.clock.tickAsync(500)
@@ -457,7 +457,7 @@
   }))
 
   it('stops the runs of a cancelled job and shows it as cancelled', async () => await withSite(async (site, start) => {
-    const worker = site.port.add(new FakeWorker('w1', 2, () => 10_000))
+    const worker = site.port.add(new FakeClusterWorker('w1', 2, () => 10_000))
     const scheduler = start(1)
     submit(site.log, JOB, [step({ count: 3 })])
     await site.clock.tickAsync(500)
@@ -472,7 +472,7 @@
   const LOG_FAULTS: readonly LogFault[] = ['silent', 'refused']
   for (const fault of LOG_FAULTS) {
     it(`starts nothing while the log is ${fault}, and resumes afterwards`, async () => await withSite(async (site, start) => {
-      const worker = site.port.add(new FakeWorker('w1', 1, () => 1000))
+      const worker = site.port.add(new FakeClusterWorker('w1', 1, () => 1000))
       const scheduler = start(1)
       submit(site.log, JOB, [step({ count: 2 })])
       await site.clock.tickAsync(500)
@@ -488,7 +488,7 @@
   /** Until an end is acknowledged, the worker responds to every poll at once with it, and each poll costs processor time on both sides. */
   it('polls again only once the log holds the ends reported by a poll', async () => await withSite(async (site, start) => {
     site.log.responseMilliseconds = 130
-    const worker = site.port.add(new FakeWorker('w1', 1, () => 500))
+    const worker = site.port.add(new FakeClusterWorker('w1', 1, () => 500))
     const scheduler = start(1)
     submit(site.log, JOB, [step({ count: 10 })])
     await site.clock.tickAsync(15_000)
@@ -522,7 +522,7 @@
 
   it('shows a job as completed only once the log holds it, while the log is available', async () => await withSite(async (site, start) => {
     site.log.responseMilliseconds = 150
-    const worker = site.port.add(new FakeWorker('w1', 1, () => 1000))
+    const worker = site.port.add(new FakeClusterWorker('w1', 1, () => 1000))
     const scheduler = start(1)
     submit(site.log, JOB, [step()])
     await site.clock.tickAsync(1000)
@@ -536,7 +536,7 @@
   /** An unrecorded end is lost with its worker and the scheduler, and the task runs again; so the job must not have been shown as completed. */
   for (const fault of LOG_FAULTS) {
     it(`shows a job as completed only once the log holds it, while the log is ${fault}`, async () => await withSite(async (site, start) => {
-      const worker = site.port.add(new FakeWorker('w1', 1, () => 1000))
+      const worker = site.port.add(new FakeClusterWorker('w1', 1, () => 1000))
       const scheduler = start(1)
       submit(site.log, JOB, [step()])
       await site.clock.tickAsync(900)
@@ -554,7 +554,7 @@
     }))
 
     it(`repeats a task whose end was lost unrecorded with its worker, without having shown it as completed, after the log was ${fault}`, async () => await withSite(async (site, start) => {
-      const first = site.port.add(new FakeWorker('w1', 1, () => 1000))
+      const first = site.port.add(new FakeClusterWorker('w1', 1, () => 1000))
       const scheduler = start(1)
       submit(site.log, JOB, [step()])
       await site.clock.tickAsync(900)
@@ -564,7 +564,7 @@
       const shown = scheduler.stateOf(JOB)
       scheduler.dispose()
       first.isReachable = false
-      const second = site.port.add(new FakeWorker('w2', 1, () => 1000))
+      const second = site.port.add(new FakeClusterWorker('w2', 1, () => 1000))
       site.log.fault = 'none'
       const successor = start(2)
       await site.clock.tickAsync(25_000)
@@ -575,7 +575,7 @@
   }
 
   it('counts the ends that are not recorded yet', async () => await withSite(async (site, start) => {
-    site.port.add(new FakeWorker('w1', 2, () => 1000))
+    site.port.add(new FakeClusterWorker('w1', 2, () => 1000))
     const scheduler = start(1)
     submit(site.log, JOB, [step({ count: 2 })])
     await site.clock.tickAsync(900)
@@ -588,7 +588,7 @@
   }))
 
   it('completes a job whose end the former scheduler could not record, without repeating it', async () => await withSite(async (site, start) => {
-    const worker = site.port.add(new FakeWorker('w1', 1, () => 1000))
+    const worker = site.port.add(new FakeClusterWorker('w1', 1, () => 1000))
     const scheduler = start(1)
     submit(site.log, JOB, [step()])
     await site.clock.tickAsync(900)
--- a/test/cluster/clusterInstance.test.ts
+++ b/test/cluster/clusterInstance.test.ts
@@ -10,7 +10,7 @@
 import type { ClusterConfiguration } from '../../src/contracts/clusterConfiguration.js'
 import { decodeRecord, encodeRecord, type LeadershipRecord } from '../../src/contracts/clusterRecords.js'
 import { stepJobSchema } from '../../src/contracts/stepJob.js'
-import { FakeWorker, FakeWorkerPort } from '../fakes/fakeClusterWorkers.js'
+import { FakeClusterWorker, FakeWorkerPort } from '../fakes/fakeClusterWorkers.js'
 import { FakeRecordLog } from '../fakes/fakeRecordLog.js'
 
 const JOB = '00000000000000aa'
@@ -66,8 +66,8 @@
     this.log.write('configuration', 'config', Buffer.from(JSON.stringify({ ...CONFIGURATION, revision })))
   }
 
-  addWorker (name: string, durationMilliseconds: number): FakeWorker {
-    const worker = this.port.add(new FakeWorker(name, 4, () => durationMilliseconds))
+  addWorker (name: string, durationMilliseconds: number): FakeClusterWorker {
+    const worker = this.port.add(new FakeClusterWorker(name, 4, () => durationMilliseconds))
     this.log.write('workers', name, Buffer.from(JSON.stringify(worker.entry)))
     return worker
   }
--- a/test/cluster/clusterScheduler.test.ts
+++ b/test/cluster/clusterScheduler.test.ts
@@ -4,7 +4,7 @@
 import type { ClusterConfiguration, QueuePolicy } from '../../src/contracts/clusterConfiguration.js'
 import { stepJobSchema } from '../../src/contracts/stepJob.js'
 import type { EndReport } from '../../src/cluster/workerPort.js'
-import { FakeWorker } from '../fakes/fakeClusterWorkers.js'
+import { FakeClusterWorker } from '../fakes/fakeClusterWorkers.js'
 import { SILENT_OBSERVER } from '../fakes/silentObserver.js'
 
 const JOB = '00000000000000aa'
@@ -17,7 +17,7 @@
 
 function createScheduler (): ClusterScheduler {
   const scheduler = new ClusterScheduler(SILENT_OBSERVER)
-  scheduler.upsertWorker(new FakeWorker('w1', 1, () => 0).entry)
+  scheduler.upsertWorker(new FakeClusterWorker('w1', 1, () => 0).entry)
   report(scheduler, [])
   return scheduler
 }
--- a/test/cluster/eligibilityRequester.test.ts
+++ b/test/cluster/eligibilityRequester.test.ts
@@ -3,7 +3,7 @@
 import { ClusterScheduler } from '../../src/cluster/clusterScheduler.js'
 import { EligibilityRequester } from '../../src/cluster/eligibilityRequester.js'
 import { stepJobSchema } from '../../src/contracts/stepJob.js'
-import { FakeWorker } from '../fakes/fakeClusterWorkers.js'
+import { FakeClusterWorker } from '../fakes/fakeClusterWorkers.js'
 import { SILENT_OBSERVER } from '../fakes/silentObserver.js'
 
 const QUEUE = { name: 'queue', host: 'host', routePrefix: '/q/', pool: 'pool', priority: 1, attempts: 2, stretch: 2, targetMilliseconds: 500, eligibility: { decisionMilliseconds: 100, perWorkerMilliseconds: 1, ticketMilliseconds: 2500 } }
@@ -16,7 +16,7 @@
 
 function addWorkers (scheduler: ClusterScheduler, names: readonly string[]): void {
   for (const name of names) {
-    scheduler.upsertWorker(new FakeWorker(name, 1, () => 0).entry)
+    scheduler.upsertWorker(new FakeClusterWorker(name, 1, () => 0).entry)
     scheduler.onReport(name, { clockMilliseconds: 1, bornAt: 1, running: [], ended: [] }, 0, 0)
   }
 }
--- a/test/cluster/placementPass.test.ts
+++ b/test/cluster/placementPass.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test'
 import { ClusterScheduler } from '../../src/cluster/clusterScheduler.js'
 import { stepJobSchema } from '../../src/contracts/stepJob.js'
-import { FakeWorker } from '../fakes/fakeClusterWorkers.js'
+import { FakeClusterWorker } from '../fakes/fakeClusterWorkers.js'
 import { SILENT_OBSERVER } from '../fakes/silentObserver.js'
 
 const QUEUES = [
@@ -16,7 +16,7 @@
   const scheduler = new ClusterScheduler(SILENT_OBSERVER)
   scheduler.configure({ revision: 1, queues: QUEUES, maximumBodyBytes: 1000 })
   for (const { name, cores, speed } of workers) {
-    scheduler.upsertWorker(new FakeWorker(name, cores, () => 0).entry).speed = speed
+    scheduler.upsertWorker(new FakeClusterWorker(name, cores, () => 0).entry).speed = speed
     scheduler.onReport(name, { clockMilliseconds: 1, bornAt: 1, running: [], ended: [] }, 0, 0)
   }
   return scheduler
--- a/test/fakes/fakeCluster.ts
+++ b/test/fakes/fakeCluster.ts
@@ -8,7 +8,7 @@
 import type { ClusterConfiguration } from '../../src/contracts/clusterConfiguration.js'
 import { encodeRecord } from '../../src/contracts/clusterRecords.js'
 import { stepJobSchema, type StepJob } from '../../src/contracts/stepJob.js'
-import { FakeWorker, type FakeWorkerObserver } from './fakeClusterWorkers.js'
+import { FakeClusterWorker, type FakeWorkerObserver } from './fakeClusterWorkers.js'
 import { FakeRecordLog } from './fakeRecordLog.js'
 import { PausedClock, SimulatedProcess } from './pausedClock.js'
 
@@ -100,7 +100,7 @@
   /** Start time of the worker process to which the polling connection is open, by worker. */
   private readonly connectedTo = new Map<string, number>()
 
-  constructor (private readonly workers: ReadonlyMap<string, FakeWorker>, private readonly pathTo: (worker: string) => Path) {
+  constructor (private readonly workers: ReadonlyMap<string, FakeClusterWorker>, private readonly pathTo: (worker: string) => Path) {
     super()
   }
 
@@ -124,7 +124,7 @@
     return await this.call<CommandOutcome>(identity, async worker => await worker.stop(task, run, term), COMMAND_TIMEOUT_MILLISECONDS, { kind: 'unknown', reason: 'timed out' })
   }
 
-  private async call<T> (identity: string, execute: (worker: FakeWorker) => Promise<T>, timeoutMilliseconds: number, timeoutResult: T): Promise<T> {
+  private async call<T> (identity: string, execute: (worker: FakeClusterWorker) => Promise<T>, timeoutMilliseconds: number, timeoutResult: T): Promise<T> {
     const worker = this.workers.get(identity)
     const targetBornAt = worker?.bornAt
     return await this.pathTo(identity).call(async () => {
@@ -143,7 +143,7 @@
 
 /** The workers and jobs of a cluster as observers read them. */
 export interface ClusterView {
-  readonly workers: ReadonlyMap<string, FakeWorker>
+  readonly workers: ReadonlyMap<string, FakeClusterWorker>
   readonly jobs: readonly SubmittedStepJob[]
 }
 
@@ -162,7 +162,7 @@
     return Array.from({ length: step.count }, (_, member) => `${identity}.${occurrence}.${index}.${member}`)
   }
 
-  onDidStart (worker: FakeWorker, task: string, run: number): void {
+  onDidStart (worker: FakeClusterWorker, task: string, run: number): void {
     this.observer.onDidStart(worker, task, run)
     const members = this.membersOf(task)
     if (members.length === 0) return
@@ -173,13 +173,13 @@
     this.timers.after(GANG_WAIT_MILLISECONDS, () => { if (!this.areAllRunning(members, run)) this.endAll([task], run, 'alone') })
   }
 
-  onDidEnd (worker: FakeWorker, end: EndReport): void {
+  onDidEnd (worker: FakeClusterWorker, end: EndReport): void {
     this.observer.onDidEnd(worker, end)
     const members = this.membersOf(end.task)
     if (members.length > 0 && end.kind !== 'done') this.timers.after(0, () => this.endAll(members, end.run, 'broken'))
   }
 
-  onDidAcknowledgeEnd (worker: FakeWorker, end: EndReport): void {
+  onDidAcknowledgeEnd (worker: FakeClusterWorker, end: EndReport): void {
     this.observer.onDidAcknowledgeEnd(worker, end)
   }
 
@@ -219,7 +219,7 @@
 export class FakeCluster implements ClusterView {
   readonly clock = new PausedClock()
   readonly log = new FakeRecordLog()
-  readonly workers = new Map<string, FakeWorker>()
+  readonly workers = new Map<string, FakeClusterWorker>()
   readonly schedulers: StartedScheduler[] = []
   readonly jobs: SubmittedStepJob[] = []
   private readonly gangSimulator: GangSimulator
@@ -236,9 +236,9 @@
     return this.schedulers.filter(scheduler => !scheduler.process.isCrashed && !scheduler.isSuperseded)
   }
 
-  addWorker (): FakeWorker {
+  addWorker (): FakeClusterWorker {
     this.workerCount += 1
-    const worker = new FakeWorker(`w${this.workerCount}`, 2, task => this.gangSimulator.membersOf(task).length > 0 ? Infinity : 300 + 700 * (Number(task.at(-1)) % 5))
+    const worker = new FakeClusterWorker(`w${this.workerCount}`, 2, task => this.gangSimulator.membersOf(task).length > 0 ? Infinity : 300 + 700 * (Number(task.at(-1)) % 5))
     worker.clockRate = this.workerCount % 2 === 0 ? SLOW_CLOCK_RATE : 1
     worker.observer = this.gangSimulator
     this.workers.set(worker.identity, worker)
@@ -247,7 +247,7 @@
   }
 
   /** Ends the worker's process permanently and removes its registry entry. */
-  removeWorker (worker: FakeWorker): void {
+  removeWorker (worker: FakeClusterWorker): void {
     worker.restart()
     this.workers.delete(worker.identity)
     for (const { process, activeScheduler } of this.runningSchedulers) process.deliver(() => activeScheduler.removeWorker(worker.identity))
--- a/test/fakes/fakeClusterWorkers.ts
+++ b/test/fakes/fakeClusterWorkers.ts
@@ -11,10 +11,10 @@
 
 /** Receives the events of fake workers. */
 export interface FakeWorkerObserver {
-  onDidStart (worker: FakeWorker, task: string, run: number): void
-  onDidEnd (worker: FakeWorker, end: EndReport): void
+  onDidStart (worker: FakeClusterWorker, task: string, run: number): void
+  onDidEnd (worker: FakeClusterWorker, end: EndReport): void
   /** The scheduler has acknowledged an end, so that the worker no longer reports it. */
-  onDidAcknowledgeEnd (worker: FakeWorker, end: EndReport): void
+  onDidAcknowledgeEnd (worker: FakeClusterWorker, end: EndReport): void
 }
 
 interface FakeRun {
@@ -28,7 +28,7 @@
 const LATE_MILLISECONDS = 3000
 
 /** One worker with leases, fencing and capacity for a number of runs. Records starts that exceed its capacity. */
-export class FakeWorker {
+export class FakeClusterWorker {
   readonly running = new Map<string, FakeRun>()
   readonly ended: EndReport[] = []
   readonly started: string[] = []
@@ -208,9 +208,9 @@
 
 /** Sends polls and commands to fake workers in memory. */
 export class FakeWorkerPort extends WorkerPort {
-  readonly workers = new Map<string, FakeWorker>()
+  readonly workers = new Map<string, FakeClusterWorker>()
 
-  add (worker: FakeWorker): FakeWorker {
+  add (worker: FakeClusterWorker): FakeClusterWorker {
     this.workers.set(worker.identity, worker)
     return worker
   }
@@ -227,7 +227,7 @@
     return await this.find(worker).stop(task, run, term)
   }
 
-  private find (worker: WorkerAddress): FakeWorker {
+  private find (worker: WorkerAddress): FakeClusterWorker {
     const found = this.workers.get(worker.identity)
     if (found === undefined) throw new Error(`no fake worker ${worker.identity}`)
     return found
--- a/test/fuzz/clusterFuzzer.ts
+++ b/test/fuzz/clusterFuzzer.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check'
 import { FakeCluster, type PathFault, type StartedScheduler } from '../fakes/fakeCluster.js'
-import type { FakeWorker } from '../fakes/fakeClusterWorkers.js'
+import type { FakeClusterWorker } from '../fakes/fakeClusterWorkers.js'
 import { ClusterOracle } from './clusterOracle.js'
 import { checkTraces, DEFAULT_COMMANDS, type FuzzFailure, type TraceOptions } from './fuzzer.js'
 
@@ -55,9 +55,9 @@
   return cluster.runningSchedulers.at(-1 - position % Math.max(1, cluster.runningSchedulers.length))
 }
 
-function workerAt (cluster: FakeCluster, position: number): FakeWorker {
+function workerAt (cluster: FakeCluster, position: number): FakeClusterWorker {
   const all = [...cluster.workers.values()]
-  return all[position % all.length] as FakeWorker
+  return all[position % all.length] as FakeClusterWorker
 }
 
 const COMMANDS: Array<fc.WeightedArbitrary<ClusterCommand>> = [
--- a/test/fuzz/clusterOracle.ts
+++ b/test/fuzz/clusterOracle.ts
@@ -1,6 +1,6 @@
 import type { EndReport } from '../../src/cluster/workerPort.js'
 import { MAXIMUM_ATTEMPTS, type ClusterView, type FakeCluster, type SubmittedStepJob } from '../fakes/fakeCluster.js'
-import type { FakeWorker, FakeWorkerObserver } from '../fakes/fakeClusterWorkers.js'
+import type { FakeClusterWorker, FakeWorkerObserver } from '../fakes/fakeClusterWorkers.js'
 
 /** End of a run, as recorded by its worker. */
 interface RecordedEnd {
@@ -41,7 +41,7 @@
     this.checkStates(cluster)
   }
 
-  onDidStart (worker: FakeWorker, task: string, run: number): void {
+  onDidStart (worker: FakeClusterWorker, task: string, run: number): void {
     const start = `${task} run ${run} on ${worker.identity}`
     this.startedJobs.add(jobOf(task))
     for (const other of this.view?.workers.values() ?? []) {
@@ -59,13 +59,13 @@
     this.checkStepOrder(task, start)
   }
 
-  onDidEnd (worker: FakeWorker, end: EndReport): void {
+  onDidEnd (worker: FakeClusterWorker, end: EndReport): void {
     if (end.kind !== 'done') return
     const recorded = { worker: worker.identity, bornAt: worker.bornAt, number: end.number, run: end.run, endedAt: performance.now(), isAcknowledged: false, startedAfter: undefined }
     this.completedRuns.set(end.task, [...this.completedRuns.get(end.task) ?? [], recorded])
   }
 
-  onDidAcknowledgeEnd (worker: FakeWorker, end: EndReport): void {
+  onDidAcknowledgeEnd (worker: FakeClusterWorker, end: EndReport): void {
     if (end.kind === 'failed') this.failedRuns.set(end.task, (this.failedRuns.get(end.task) ?? 0) + 1)
     const recorded = this.completedRuns.get(end.task)?.find(candidate => candidate.worker === worker.identity && candidate.bornAt === worker.bornAt && candidate.number === end.number)
     // If a lease expired in between, the end stays uncertain, and another start is no violation.
--- a/test/soak/faults.ts
+++ b/test/soak/faults.ts
@@ -1,5 +1,5 @@
 import type { Random } from '../../src/base/random.js'
-import type { FakeWorker } from '../fakes/fakeClusterWorkers.js'
+import type { FakeClusterWorker } from '../fakes/fakeClusterWorkers.js'
 import type { PathFault } from './faultyPath.js'
 import type { InstanceProcess } from './instanceProcess.js'
 import { APPEND_MILLISECONDS, type SoakSite } from './soakSite.js'
@@ -34,7 +34,7 @@
 
 interface TargetedFault extends PlannedFault {
   readonly instances: readonly InstanceProcess[]
-  readonly targetWorker: FakeWorker
+  readonly targetWorker: FakeClusterWorker
 }
 
 interface FaultKind {
@@ -78,7 +78,7 @@
 }
 
 /** Creates a fault of one worker. */
-function workerFault (weight: number, start: (worker: FakeWorker, site: SoakSite) => void, end: (worker: FakeWorker, site: SoakSite) => void = removeFaults): FaultKind {
+function workerFault (weight: number, start: (worker: FakeClusterWorker, site: SoakSite) => void, end: (worker: FakeClusterWorker, site: SoakSite) => void = removeFaults): FaultKind {
   return {
     weight,
     start: (site, { targetWorker }) => {
@@ -88,7 +88,7 @@
   }
 }
 
-function removeFaults (worker: FakeWorker): void {
+function removeFaults (worker: FakeClusterWorker): void {
   Object.assign(worker, { fault: 'none', endKind: 'done', stopMilliseconds: 0 })
 }
 
@@ -144,7 +144,7 @@
 export function injectFault (site: SoakSite, planned: PlannedFault): { readonly line: string, readonly end: (() => void) | undefined } {
   const instances = selectInstances(site, planned)
   const workers = [...site.workers.values()]
-  const targetWorker = workers[planned.worker % workers.length] as FakeWorker
+  const targetWorker = workers[planned.worker % workers.length] as FakeClusterWorker
   site.markUnstable(instances, planned.durationMilliseconds)
   const end = FAULT_KINDS[planned.kind]?.start(site, { ...planned, instances, targetWorker })
   const line = `${new Date().toISOString()} ${planned.atMilliseconds} ms: ${planned.kind} of ${instances.map(({ name }) => name).join(', ')}; worker ${targetWorker.identity}, path ${planned.pathFault}, ${planned.durationMilliseconds} ms`
--- a/test/soak/soakChecks.ts
+++ b/test/soak/soakChecks.ts
@@ -1,4 +1,4 @@
-import type { FakeWorker } from '../fakes/fakeClusterWorkers.js'
+import type { FakeClusterWorker } from '../fakes/fakeClusterWorkers.js'
 import { ClusterOracle } from '../fuzz/clusterOracle.js'
 import type { InstanceProcess, ProcessState } from './instanceProcess.js'
 import type { SoakJob, SoakSite } from './soakSite.js'
@@ -41,7 +41,7 @@
     else this.addProblem(problem)
   }
 
-  override onDidStart (worker: FakeWorker, task: string, run: number): void {
+  override onDidStart (worker: FakeClusterWorker, task: string, run: number): void {
     super.onDidStart(worker, task, run)
     const now = performance.now()
     const job = this.site.jobs.find(({ identity }) => task.startsWith(`${identity}.`))
--- a/test/soak/soakSite.ts
+++ b/test/soak/soakSite.ts
@@ -4,7 +4,7 @@
 import { decodeRecord, encodeRecord, type LeadershipRecord } from '../../src/contracts/clusterRecords.js'
 import { HttpClient } from '../../src/links/httpClient.js'
 import { MAXIMUM_ATTEMPTS, GangSimulator, SLOW_CLOCK_RATE, type ClusterView, type SubmittedStepJob } from '../fakes/fakeCluster.js'
-import { FakeWorker } from '../fakes/fakeClusterWorkers.js'
+import { FakeClusterWorker } from '../fakes/fakeClusterWorkers.js'
 import { FakeRecordLog } from '../fakes/fakeRecordLog.js'
 import { CONFIGURATION_KEY, OPERATOR_TOPIC, WORKER_TOPIC } from '../../platform/registry.js'
 import { FaultyPath, type PathFault } from './faultyPath.js'
@@ -41,7 +41,7 @@
 /** A complete site on one machine: instances as separate processes, stand-ins of the platform in this process, and faulty paths between them. */
 export class SoakSite implements ClusterView, InstanceObserver {
   readonly log = new FakeRecordLog(RESPONSE_MILLISECONDS)
-  readonly workers = new Map<string, FakeWorker>()
+  readonly workers = new Map<string, FakeClusterWorker>()
   readonly jobs: SoakJob[] = []
   readonly instances: InstanceProcess[] = []
   readonly checks: SoakChecks
@@ -121,7 +121,7 @@
 
   async addWorker (): Promise<void> {
     const identity = `i-${this.workerStandins.size + 1}`
-    const worker = new FakeWorker(identity, WORKER_CAPACITY, task => this.gangSimulator.membersOf(task).length > 0 ? Infinity : 150 + 350 * (Number(task.at(-1)) % 5))
+    const worker = new FakeClusterWorker(identity, WORKER_CAPACITY, task => this.gangSimulator.membersOf(task).length > 0 ? Infinity : 150 + 350 * (Number(task.at(-1)) % 5))
     worker.bornAt = Date.now()
     worker.clockRate = this.workerStandins.size % 2 === 0 ? 1 : SLOW_CLOCK_RATE
     worker.observer = this.gangSimulator
@@ -133,20 +133,20 @@
   }
 
   /** Crashes the worker's process and resets its connections. It restarts under the same identity with `startWorker`. */
-  crashWorker (worker: FakeWorker): void {
+  crashWorker (worker: FakeClusterWorker): void {
     for (const instance of this.instances) this.setWorkerPath(instance, worker, 'reset')
     worker.restart()
   }
 
   /** Restarts a worker after a crash. */
-  startWorker (worker: FakeWorker): void {
+  startWorker (worker: FakeClusterWorker): void {
     worker.restart()
     for (const instance of this.instances) this.setWorkerPath(instance, worker, 'none')
     this.writeRegistry()
   }
 
   /** Removes a worker permanently and adds another one. */
-  async replaceWorker (worker: FakeWorker): Promise<void> {
+  async replaceWorker (worker: FakeClusterWorker): Promise<void> {
     this.crashWorker(worker)
     this.workers.delete(worker.identity)
     this.workerStandins.get(worker.identity)?.dispose()
@@ -159,7 +159,7 @@
     this.setPath(instance, String(log?.hostAndPort), fault)
   }
 
-  setWorkerPath (instance: InstanceProcess, worker: FakeWorker, fault: PathFault): void {
+  setWorkerPath (instance: InstanceProcess, worker: FakeClusterWorker, fault: PathFault): void {
     this.setPath(instance, String(this.workerStandins.get(worker.identity)?.hostAndPort), fault)
   }
 
--- a/test/soak/workerStandin.ts
+++ b/test/soak/workerStandin.ts
@@ -1,12 +1,12 @@
 import type { PollOutcome, CommandOutcome } from '../../src/cluster/workerPort.js'
-import type { FakeWorker } from '../fakes/fakeClusterWorkers.js'
+import type { FakeClusterWorker } from '../fakes/fakeClusterWorkers.js'
 import { LoopbackStandin, type StandinResponse, type StandinRequest } from './loopbackStandin.js'
 
 const MISDIRECTED: StandinResponse = { status: 421, body: {} }
 
 /** Stand-in of a worker over HTTP. */
 export class WorkerStandin extends LoopbackStandin {
-  constructor (readonly worker: FakeWorker) {
+  constructor (readonly worker: FakeClusterWorker) {
     super()
   }
 
