--- a/test/fakes/fakeCluster.ts
+++ b/test/fakes/fakeCluster.ts
@@ -8,7 +8,7 @@
 import type { ClusterConfiguration } from '../../src/contracts/clusterConfiguration.js'
 import { encodeRecord } from '../../src/contracts/clusterRecords.js'
 import { stepJobSchema, type StepJob } from '../../src/contracts/stepJob.js'
-import { FakeClusterWorker, type FakeWorkerObserver } from './fakeClusterWorkers.js'
+import { FakeClusterWorker, type FakeClusterWorkerObserver } from './fakeClusterWorkers.js'
 import { FakeRecordLog } from './fakeRecordLog.js'
 import { PausedClock, SimulatedProcess } from './pausedClock.js'
 
@@ -151,8 +151,8 @@
  * Ends the members of gangs together: `done` after all have run together for the gang's run time, `broken` if one ends otherwise,
  * `alone` if one waits too long for the others. Forwards all events to another observer.
  */
-export class GangSimulator implements FakeWorkerObserver {
-  constructor (private readonly timers: Timers, private readonly view: ClusterView, private readonly observer: FakeWorkerObserver) {}
+export class GangSimulator implements FakeClusterWorkerObserver {
+  constructor (private readonly timers: Timers, private readonly view: ClusterView, private readonly observer: FakeClusterWorkerObserver) {}
 
   /** Returns the names of all tasks in the gang of a task; empty if the task belongs to no gang. */
   membersOf (task: string): string[] {
@@ -226,7 +226,7 @@
   private readonly random: Random
   private workerCount = 0
 
-  constructor (seed: number, private readonly observer: FakeWorkerObserver & { onStep (cluster: FakeCluster): void }) {
+  constructor (seed: number, private readonly observer: FakeClusterWorkerObserver & { onStep (cluster: FakeCluster): void }) {
     this.random = new Random(seed)
     this.gangSimulator = new GangSimulator(this.clock, this, observer)
   }
--- a/test/fakes/fakeClusterWorkers.ts
+++ b/test/fakes/fakeClusterWorkers.ts
@@ -10,7 +10,7 @@
 const LONGEST_LEASE_MILLISECONDS = 6000
 
 /** Receives the events of fake workers. */
-export interface FakeWorkerObserver {
+export interface FakeClusterWorkerObserver {
   onDidStart (worker: FakeClusterWorker, task: string, run: number): void
   onDidEnd (worker: FakeClusterWorker, end: EndReport): void
   /** The scheduler has acknowledged an end, so that the worker no longer reports it. */
@@ -50,7 +50,7 @@
   bornAt = 1
   /** Rate of the worker's clock relative to the true clock. */
   clockRate = 1
-  observer: FakeWorkerObserver | undefined
+  observer: FakeClusterWorkerObserver | undefined
   /** Time on the true clock at which a lease last lapsed, in milliseconds. */
   lapsedAt = -Infinity
   private clockStart = 0
--- a/test/fuzz/clusterOracle.ts
+++ b/test/fuzz/clusterOracle.ts
@@ -1,6 +1,6 @@
 import type { EndReport } from '../../src/cluster/workerPort.js'
 import { MAXIMUM_ATTEMPTS, type ClusterView, type FakeCluster, type SubmittedStepJob } from '../fakes/fakeCluster.js'
-import type { FakeClusterWorker, FakeWorkerObserver } from '../fakes/fakeClusterWorkers.js'
+import type { FakeClusterWorker, FakeClusterWorkerObserver } from '../fakes/fakeClusterWorkers.js'
 
 /** End of a run, as recorded by its worker. */
 interface RecordedEnd {
@@ -16,7 +16,7 @@
 }
 
 /** Observes workers, and records each violated invariant. */
-export class ClusterOracle implements FakeWorkerObserver {
+export class ClusterOracle implements FakeClusterWorkerObserver {
   readonly problems: string[] = []
   private readonly completedRuns = new Map<string, RecordedEnd[]>()
   private readonly failedRuns = new Map<string, number>()
