--- a/test/fakes/persistentCallers.ts
+++ b/test/fakes/persistentCallers.ts
@@ -7,7 +7,7 @@
 /** Outcomes of the requests of all callers. */
 export interface CallerCounts {
   /** Number of complete responses, by status. */
-  readonly responses: Record<string, number>
+  readonly answers: Record<string, number>
   /** Number of responses with status 503 and no `retry-after` header. */
   refusalsWithoutRetryAfter: number
   /** Number of requests without a complete response that were sent on a connection that had already carried another request. */
@@ -22,7 +22,7 @@
 
 /** Callers that each send requests back to back on one persistent connection. */
 export class PersistentCallers {
-  readonly counts: CallerCounts = { responses: {}, refusalsWithoutRetryAfter: 0, brokenOnReusedConnection: 0, brokenOnNewConnection: 0, refusedConnections: 0, errors: {} }
+  readonly counts: CallerCounts = { answers: {}, refusalsWithoutRetryAfter: 0, brokenOnReusedConnection: 0, brokenOnNewConnection: 0, refusedConnections: 0, errors: {} }
   private isStopped = false
   private readonly running: Array<Promise<void>> = []
 
@@ -77,7 +77,7 @@
       return
     }
     const status = String(response.statusCode)
-    this.counts.responses[status] = (this.counts.responses[status] ?? 0) + 1
+    this.counts.answers[status] = (this.counts.answers[status] ?? 0) + 1
     if (response.statusCode === 503 && response.headers['retry-after'] === undefined) this.counts.refusalsWithoutRetryAfter += 1
   }
 
--- a/test/platform/gracefulShutdown.test.ts
+++ b/test/platform/gracefulShutdown.test.ts
@@ -88,7 +88,7 @@
     const callers = new PersistentCallers(instance.port, '/q/00000000000000aa')
     try {
       callers.start(CALLERS)
-      while ((callers.counts.responses['503'] ?? 0) < RESPONSES_BEFORE_SHUTDOWN) await delay(POLL_MILLISECONDS)
+      while ((callers.counts.answers['503'] ?? 0) < RESPONSES_BEFORE_SHUTDOWN) await delay(POLL_MILLISECONDS)
       const exited = once(instance.process, 'exit')
       instance.process.kill('SIGTERM')
       const [status] = await exited
--- a/test/programs/gracefulShutdown.test.ts
+++ b/test/programs/gracefulShutdown.test.ts
@@ -74,7 +74,7 @@
       assert.equal((await operator.publish(source, 0, 'test')).kind, 'accepted')
       await operator.close()
       callers.start(CALLERS)
-      await waitUntil(() => (callers.counts.responses['200'] ?? 0) >= RESPONSES_BEFORE_SHUTDOWN)
+      await waitUntil(() => (callers.counts.answers['200'] ?? 0) >= RESPONSES_BEFORE_SHUTDOWN)
       const exited = once(entry.process, 'exit')
       entry.process.kill('SIGTERM')
       const [status] = await exited
