--- a/features/steps/serving.steps.ts
+++ b/features/steps/serving.steps.ts
@@ -123,9 +123,9 @@
 })
 
 Then(/^(\S+) has stopped without aborting a request$/, function (this: ServingWorld, name: string) {
-  const { stoppedAt, interruptedRequests: cutOff } = instanceOf(siteOf(this), name)
+  const { stoppedAt, interruptedRequests } = instanceOf(siteOf(this), name)
   assert.notEqual(stoppedAt, undefined)
-  assert.equal(cutOff, 0)
+  assert.equal(interruptedRequests, 0)
 })
 
 Then(/^(\S+) has run none of the requests$/, function (this: ServingWorld, name: string) {
@@ -139,9 +139,9 @@
 
 // The append may have taken effect although its response was lost, so neither notRun nor an acceptance would be correct.
 Then('the submission receives the verdict mayHaveRun with the identity of the job', function (this: ServingWorld) {
-  const response = siteOf(this).jobs[0]?.result
-  assert.equal(response?.kind === 'error' ? response.error.verdict : response?.kind, 'mayHaveRun')
-  assert.match(response?.kind === 'error' && response.error.code === 'outcomeUnknown' ? response.error.job ?? '' : '', /^gent-[ab]\./)
+  const result = siteOf(this).jobs[0]?.result
+  assert.equal(result?.kind === 'error' ? result.error.verdict : result?.kind, 'mayHaveRun')
+  assert.match(result?.kind === 'error' && result.error.code === 'outcomeUnknown' ? result.error.job ?? '' : '', /^gent-[ab]\./)
 })
 
 Then('each failure domain has one owner', function (this: ServingWorld) {
@@ -153,7 +153,7 @@
 
 Then('every accepted job has ended', function (this: ServingWorld) {
   const site = siteOf(this)
-  assert.ok(site.jobs.some(({ result: answer }) => answer?.kind === 'accepted'))
+  assert.ok(site.jobs.some(({ result }) => result?.kind === 'accepted'))
   assert.deepEqual(NoAcceptedJobLost(site), [])
   assert.equal([...site.workers.values()].flatMap(worker => worker.running).length, 0)
 })
--- a/spec/ownershipSpecification.ts
+++ b/spec/ownershipSpecification.ts
@@ -395,14 +395,14 @@
   for (const record of [...state.log, ...state.instances.flatMap(self => self.inFlight)]) if (record.kind === 'renewal') numbers.push(record.number)
   const ranks = [...new Set(numbers)].sort((left, right) => left - right)
   const { base } = state
-  const text = (record: OwnershipLogRecord): string => record.kind === 'renewal'
+  const recordKey = (record: OwnershipLogRecord): string => record.kind === 'renewal'
     ? `n${record.by},${record.term - base.term},${ranks.indexOf(record.number)},${record.electors}`
     : record.kind === 'claim' ? `c${record.by},${record.after - base.term},${record.electors},${record.ownerAndElectorsGone}` : `e${record.by},${record.term - base.term}`
   const instances = state.instances.map(self => [
     self.identity, self.up, self.recordsRead, self.leaseTicks, promisesMatter ? `${self.ownerExpiryWait},${self.promiseTicks}` : Math.max(self.ownerExpiryWait, self.promiseTicks), self.takeoverWait, self.lastClaimedTerm === 0 ? '' : Math.max(-1, self.lastClaimedTerm - base.term), self.resigned,
-    self.sentRenewals.map(renewal => `${ranks.indexOf(renewal.number)},${renewal.electors},${renewal.leaseTicks}`).join(';'), self.inFlight.map(text).join(';'), self.promiseRound === undefined ? '' : `${self.promiseRound.ticksLeft},${self.promiseRound.missing}`
+    self.sentRenewals.map(renewal => `${ranks.indexOf(renewal.number)},${renewal.electors},${renewal.leaseTicks}`).join(';'), self.inFlight.map(recordKey).join(';'), self.promiseRound === undefined ? '' : `${self.promiseRound.ticksLeft},${self.promiseRound.missing}`
   ].join(' '))
-  return [base.owner, base.released, base.electors, ranks.indexOf(base.lastRenewal), state.crashes, state.releases, state.ticksToNextDrift, ...state.log.map(text), '', ...instances].join('|')
+  return [base.owner, base.released, base.electors, ranks.indexOf(base.lastRenewal), state.crashes, state.releases, state.ticksToNextDrift, ...state.log.map(recordKey), '', ...instances].join('|')
 }
 
 /** Returns the same state with two instances swapped. */
--- a/test/fakes/fakeCluster.ts
+++ b/test/fakes/fakeCluster.ts
@@ -204,7 +204,9 @@
   readonly activeScheduler: ActiveScheduler
   pathTo (worker: string): Path
   renewedAt: number
+  /** Monotonic time in milliseconds at which a successor was started; Infinity if there is none. */
   supersededAt: number
+  /** Whether the scheduler has detected that it was superseded. */
   isSuperseded: boolean
 }
 
--- a/test/fakes/rawCaller.ts
+++ b/test/fakes/rawCaller.ts
@@ -4,7 +4,7 @@
 export class RawCaller {
   /** All received bytes, as Latin-1 text. */
   received = ''
-  /** How the connection ended: closed by the peer in order, or reset. */
+  /** How the connection ended: closed by the peer (`orderly`) or reset. */
   ended: 'no' | 'orderly' | 'reset' = 'no'
   readonly socket: Socket
 
--- a/test/fuzz/clusterOracle.ts
+++ b/test/fuzz/clusterOracle.ts
@@ -106,10 +106,10 @@
   }
 
   private checkStates (cluster: FakeCluster): void {
-    for (const { process, activeScheduler: acting, term } of cluster.runningSchedulers) {
+    for (const { process, activeScheduler, term } of cluster.runningSchedulers) {
       if (process.isPaused) continue
       for (const job of cluster.jobs) {
-        if (acting.stateOf(job.identity) !== 'completed') continue
+        if (activeScheduler.stateOf(job.identity) !== 'completed') continue
         this.reportedCompleted.add(job.identity)
         const missing = this.firstUnfinishedStep(job)
         if (missing >= 0) this.addProblem(`CompletedMeansDone: scheduler ${term} reports ${job.identity} as completed, but step ${missing} is not done`)
--- a/test/fuzz/oracle.ts
+++ b/test/fuzz/oracle.ts
@@ -82,7 +82,7 @@
 /** A request to an instance that shut down gracefully receives a complete response, unless a fault of its executor or its deadline prevents it. */
 export function GracefulStop (site: FakeSite): string[] {
   const problems: string[] = []
-  for (const instance of site.startedInstances.filter(({ stopStartedAt: stopBeganAt, process }) => stopBeganAt !== undefined && !process.isCrashed)) {
+  for (const instance of site.startedInstances.filter(({ stopStartedAt, process }) => stopStartedAt !== undefined && !process.isCrashed)) {
     if (instance.interruptedRequests > 0) problems.push(`${instance.incarnation} aborted ${instance.interruptedRequests} requests`)
     if (instance.stoppedAt === undefined) continue
     for (const request of site.requests) {
@@ -97,7 +97,7 @@
 /** A graceful shutdown finishes within its time bound, not counting pauses. */
 export function StopEndsInTime (site: FakeSite): string[] {
   return site.startedInstances.filter(({ stoppedAt, process }) => stoppedAt === undefined && !process.isCrashed && !process.isPaused)
-    .filter(({ stopStartedAt: stopBeganAt, process }) => stopBeganAt !== undefined && performance.now() > Math.max(stopBeganAt, process.resumedAt) + STOP_BOUND_MILLISECONDS + STOP_MARGIN_MILLISECONDS)
+    .filter(({ stopStartedAt, process }) => stopStartedAt !== undefined && performance.now() > Math.max(stopStartedAt, process.resumedAt) + STOP_BOUND_MILLISECONDS + STOP_MARGIN_MILLISECONDS)
     .map(({ incarnation }) => `${incarnation} has not stopped`)
 }
 
@@ -131,20 +131,20 @@
 
 /** Checked after recovery: every accepted job has either ended according to the log or is running. */
 export function NoAcceptedJobLost (site: FakeSite): string[] {
-  return site.jobs.flatMap(({ result: answer, name, kind, failureDomain }) => {
-    if (answer?.kind !== 'accepted') return []
-    const ended = site.log.recordsOf(`jobs.${failureDomain}`).some(({ body }) => (body as { type: string, job: unknown }).type === 'jobEnded' && (body as { job: unknown }).job === answer.job)
-    const running = [...site.workers.values()].flatMap(worker => worker.running).filter(({ task }) => task.startsWith(`${answer.job}#`)).length
+  return site.jobs.flatMap(({ result, name, kind, failureDomain }) => {
+    if (result?.kind !== 'accepted') return []
+    const ended = site.log.recordsOf(`jobs.${failureDomain}`).some(({ body }) => (body as { type: string, job: unknown }).type === 'jobEnded' && (body as { job: unknown }).job === result.job)
+    const running = [...site.workers.values()].flatMap(worker => worker.running).filter(({ task }) => task.startsWith(`${result.job}#`)).length
     return ended || running > 0 ? [] : [`${name} (${kind}) has neither ended nor is it running`]
   })
 }
 
 /** Every request to an instance that has not crashed receives a response by its deadline, or shortly after the instance resumed from a pause. */
 export function EveryRequestAnswered (site: FakeSite): string[] {
-  return site.requests.flatMap(({ submission, instance: { process }, deadline, outcome, endedAt: answeredAt }) => {
+  return site.requests.flatMap(({ submission, instance: { process }, deadline, outcome, endedAt }) => {
     if (process.isCrashed || process.isPaused) return []
     const latest = Math.max(deadline, process.resumedAt) + RESPONSE_MARGIN_MILLISECONDS
-    const at = outcome === undefined ? performance.now() : answeredAt ?? 0
+    const at = outcome === undefined ? performance.now() : endedAt ?? 0
     return at > latest ? [`${submission} ${outcome === undefined ? 'has no response' : 'received its response'} ${Math.round(at - deadline)} ms after its deadline`] : []
   })
 }
@@ -167,8 +167,8 @@
 
 /** Throws an error that starts with the name of the first violated check, if any. */
 export function assertChecks (site: FakeSite, checks: Readonly<Record<string, Check>> = CHECKS): void {
-  const [noticed] = site.detectedProblems
-  if (noticed !== undefined) throw new Error(noticed.join(': '))
+  const [detected] = site.detectedProblems
+  if (detected !== undefined) throw new Error(detected.join(': '))
   for (const [name, check] of Object.entries(checks)) {
     const [problem] = check(site)
     if (problem !== undefined) throw new Error(`${name}: ${problem}`)
--- a/test/soak/faults.ts
+++ b/test/soak/faults.ts
@@ -105,21 +105,21 @@
     }
   }),
   workerPath: pathFault(4, (site, instance, fault, { targetWorker }) => site.setWorkerPath(instance, targetWorker, fault)),
-  workerPaths: pathFault(2, (site, instance, fault) => { for (const one of site.workers.values()) site.setWorkerPath(instance, one, fault) }),
+  workerPaths: pathFault(2, (site, instance, fault) => { for (const worker of site.workers.values()) site.setWorkerPath(instance, worker, fault) }),
   allPaths: pathFault(2, (site, instance, fault) => {
     site.setLogPath(instance, fault)
-    for (const one of site.workers.values()) site.setWorkerPath(instance, one, fault)
+    for (const worker of site.workers.values()) site.setWorkerPath(instance, worker, fault)
     for (const other of site.instances) site.setLinkPath(instance, other, fault)
   }),
   logRefuses: logFault(1, site => { site.log.fault = 'refused' }),
   logLosesAnswers: logFault(1, site => { site.log.fault = 'answerLost' }),
   logSlow: logFault(1, site => { site.log.appendMilliseconds = SLOW_APPEND_MILLISECONDS }),
-  workerRestarts: workerFault(2, (one, site) => site.crashWorker(one), (one, site) => site.startWorker(one)),
-  workerReplaced: workerFault(1, (one, site) => { site.replaceWorker(one) }),
-  workerFailsRuns: workerFault(1, one => { one.endKind = 'failed' }),
-  workerLosesAnswers: workerFault(1, one => { one.fault = 'answerLost' }),
-  workerUnhealthy: workerFault(1, one => { one.fault = 'unhealthy' }),
-  workerStopsSlowly: workerFault(1, one => { one.stopMilliseconds = SLOW_STOP_MILLISECONDS })
+  workerRestarts: workerFault(2, (worker, site) => site.crashWorker(worker), (worker, site) => site.startWorker(worker)),
+  workerReplaced: workerFault(1, (worker, site) => { site.replaceWorker(worker) }),
+  workerFailsRuns: workerFault(1, worker => { worker.endKind = 'failed' }),
+  workerLosesAnswers: workerFault(1, worker => { worker.fault = 'answerLost' }),
+  workerUnhealthy: workerFault(1, worker => { worker.fault = 'unhealthy' }),
+  workerStopsSlowly: workerFault(1, worker => { worker.stopMilliseconds = SLOW_STOP_MILLISECONDS })
 }
 
 /** Draws the faults of a period, in the order of their start times. */
--- a/test/soak/soakChecks.ts
+++ b/test/soak/soakChecks.ts
@@ -61,9 +61,9 @@
     if (status === 410 && job.acceptedAt !== undefined && sentAt > job.acceptedAt + VISIBLE_MILLISECONDS) this.addProblem(`NoJobLost: ${instance.name} does not know ${job.identity}, accepted ${Math.round(sentAt - job.acceptedAt)} ms before`)
     if (status !== 200) return
     const step = this.firstUnfinishedStep(job)
-    if (state === 'completed' && step >= 0) this.addProblem(`CompletedMeansDone: ${instance.name} shows ${job.identity} as completed, but step ${step} is not done`)
-    if (state === 'canceled' && !job.isCancelled) this.addProblem(`NoJobLost: ${instance.name} shows ${job.identity} as cancelled, but no caller cancelled it`)
-    if (state === 'failed' && !this.expectedStates(job).includes('failed')) this.addProblem(`NoJobLost: ${instance.name} shows ${job.identity} as failed without cause`)
+    if (state === 'completed' && step >= 0) this.addProblem(`CompletedMeansDone: ${instance.name} reports ${job.identity} as completed, but step ${step} is not done`)
+    if (state === 'canceled' && !job.isCancelled) this.addProblem(`NoJobLost: ${instance.name} reports ${job.identity} as cancelled, but no caller cancelled it`)
+    if (state === 'failed' && !this.expectedStates(job).includes('failed')) this.addProblem(`NoJobLost: ${instance.name} reports ${job.identity} as failed without cause`)
   }
 
   onWaitingCount (queue: string, { instance, sentAt }: SentRequest, waiting: number): void {
@@ -78,7 +78,7 @@
       if (!job.mayRun && this.hasStarted(job.identity)) this.addProblem(`NotRunMeansNotRun: every attempt to submit ${job.identity} was refused, but it ran`)
       const state = states.get(job) ?? 'unknown'
       const expected = this.expectedStates(job).map(expectedState => expectedState === 'cancelled' ? 'canceled' : expectedState)
-      if (job.mayRun && !expected.includes(state)) this.addProblem(`NoJobLost: ${job.identity} is ${state} in the end`)
+      if (job.mayRun && !expected.includes(state)) this.addProblem(`NoJobLost: ${job.identity} is ${state} in the final state`)
     }
     this.checkNoRunLeft(this.site)
   }
--- a/test/spec/conformance.test.ts
+++ b/test/spec/conformance.test.ts
@@ -140,7 +140,7 @@
     it(`${name}: ${WALKS} walks of ${STEPS} steps, seed ${seed}`, context => {
       const random = new Random(seed)
       const specification = new OwnershipSpecification(bounds)
-      const taken = new Map<string, number>()
+      const eventCounts = new Map<string, number>()
       for (let walk = 0; walk < WALKS; walk += 1) {
         let state = initialOwnershipState(bounds)
         const implementation = new Implementation(specification)
@@ -151,7 +151,7 @@
           const event = random.pick(events.filter(possible => possible.type === type))
           const next = specification.next(state, event)
           trace.push(event)
-          taken.set(type, (taken.get(type) ?? 0) + 1)
+          eventCounts.set(type, (eventCounts.get(type) ?? 0) + 1)
           try {
             implementation.apply(state, event, next)
             implementation.compare(next)
@@ -161,7 +161,7 @@
           state = next
         }
       }
-      context.diagnostic([...taken].map(([type, count]) => `${type} ${count}`).join(', '))
+      context.diagnostic([...eventCounts].map(([type, count]) => `${type} ${count}`).join(', '))
     })
   }
 })
--- a/test/spec/modelCheck.test.ts
+++ b/test/spec/modelCheck.test.ts
@@ -5,18 +5,18 @@
 import { initialOwnershipState, OwnershipSpecification, serializeOwnership, type OwnershipBounds, type OwnershipEvent, type OwnershipFault, type OwnershipState } from '../../spec/ownershipSpecification.js'
 import { INITIAL_TASK, TaskSpecification, type TaskBounds, type TaskFault } from '../../spec/taskSpecification.js'
 
-const TWO: OwnershipBounds = { instances: 2, electors: 0b10, unread: 1, unconfirmed: 1, inFlight: 1, terms: 2, passiveFrom: 1, crashes: 0, releases: 0, slowClock: 0, repeatedDrift: false, outageRule: 'promises' }
+const TWO_INSTANCES: OwnershipBounds = { instances: 2, electors: 0b10, unread: 1, unconfirmed: 1, inFlight: 1, terms: 2, passiveFrom: 1, crashes: 0, releases: 0, slowClock: 0, repeatedDrift: false, outageRule: 'promises' }
 /** Elector 1 and a new instance 2, which becomes an elector by a renewal. */
-const NEW_INSTANCE: OwnershipBounds = { ...TWO, instances: 3, slowClock: -1, passiveFrom: 1 }
-const TWO_ELECTORS: OwnershipBounds = { ...TWO, instances: 3, electors: 0b110, passiveFrom: 1 }
+const NEW_INSTANCE: OwnershipBounds = { ...TWO_INSTANCES, instances: 3, slowClock: -1, passiveFrom: 1 }
+const TWO_ELECTORS: OwnershipBounds = { ...TWO_INSTANCES, instances: 3, electors: 0b110, passiveFrom: 1 }
 const INTERCHANGEABLE = [1, 2] as const
 
 const CONFIGURATIONS: ReadonlyArray<{ readonly name: string, readonly bounds: OwnershipBounds, readonly interchangeable?: readonly [number, number] }> = [
-  { name: 'two instances, both renew', bounds: { ...TWO, unread: 2, passiveFrom: 2 } },
-  { name: 'two instances, drift in every lease', bounds: { ...TWO, unread: 2, repeatedDrift: true } },
-  { name: 'two instances, two renewals in flight', bounds: { ...TWO, unconfirmed: 2, inFlight: 2 } },
-  { name: 'two instances, one crash and restart, drift', bounds: { ...TWO, crashes: 1 } },
-  { name: 'two instances, one release', bounds: { ...TWO, releases: 1, unread: 2 } },
+  { name: 'two instances, both renew', bounds: { ...TWO_INSTANCES, unread: 2, passiveFrom: 2 } },
+  { name: 'two instances, drift in every lease', bounds: { ...TWO_INSTANCES, unread: 2, repeatedDrift: true } },
+  { name: 'two instances, two renewals in flight', bounds: { ...TWO_INSTANCES, unconfirmed: 2, inFlight: 2 } },
+  { name: 'two instances, one crash and restart, drift', bounds: { ...TWO_INSTANCES, crashes: 1 } },
+  { name: 'two instances, one release', bounds: { ...TWO_INSTANCES, releases: 1, unread: 2 } },
   { name: 'a new instance, renewals', bounds: NEW_INSTANCE },
   { name: 'a new instance, three terms, drift', bounds: { ...NEW_INSTANCE, terms: 3, unread: 2, unconfirmed: 0, slowClock: 0 } },
   { name: 'a new instance, one crash and restart, drift', bounds: { ...NEW_INSTANCE, unconfirmed: 0, crashes: 1, slowClock: 0 } },
@@ -25,14 +25,14 @@
 ]
 
 const OWNERSHIP_FAULTS: ReadonlyArray<{ readonly fault: OwnershipFault, readonly bounds: OwnershipBounds }> = [
-  { fault: 'noDriftMargin', bounds: TWO },
-  { fault: 'leaseFromAfterAppend', bounds: TWO },
-  { fault: 'takeoverWithoutWaiting', bounds: { ...TWO, unread: 2 } },
+  { fault: 'noDriftMargin', bounds: TWO_INSTANCES },
+  { fault: 'leaseFromAfterAppend', bounds: TWO_INSTANCES },
+  { fault: 'takeoverWithoutWaiting', bounds: { ...TWO_INSTANCES, unread: 2 } },
   { fault: 'majorityOfPromises', bounds: { ...TWO_ELECTORS, unconfirmed: 0 } },
   { fault: 'confirmedElectorsOnly', bounds: NEW_INSTANCE },
-  { fault: 'claimUnderPromise', bounds: TWO },
+  { fault: 'claimUnderPromise', bounds: TWO_INSTANCES },
   { fault: 'promiseAfterAbandonedClaim', bounds: { ...NEW_INSTANCE, terms: 3, unread: 2, unconfirmed: 0 } },
-  { fault: 'renewalRevivesReleased', bounds: { ...TWO, releases: 1, inFlight: 2, unread: 2 } },
+  { fault: 'renewalRevivesReleased', bounds: { ...TWO_INSTANCES, releases: 1, inFlight: 2, unread: 2 } },
   { fault: 'listDropsLivingInstances', bounds: { ...NEW_INSTANCE, unconfirmed: 0 } }
 ]
 
@@ -80,7 +80,7 @@
   ]
   for (const fault of [undefined, 'renewalsWithoutNumber'] as const) {
     it(fault === undefined ? 'has no effect' : `finds the injected fault ${fault}`, () => {
-      const specification = new OwnershipSpecification({ ...TWO, electors: 0, unread: 2, unconfirmed: 2, inFlight: 2, fault })
+      const specification = new OwnershipSpecification({ ...TWO_INSTANCES, electors: 0, unread: 2, unconfirmed: 2, inFlight: 2, fault })
       let state = initialOwnershipState(specification.bounds)
       const impossible = TRACE.findIndex(event => {
         if (!specification.events(state).some(possible => JSON.stringify(possible) === JSON.stringify(event))) return true
@@ -102,7 +102,7 @@
   ] as const
   for (const { rule, safe, ownerAfterTwoLeases } of RULES) {
     it(`${rule}: ${safe ? 'safe' : 'two owners'}, ${ownerAfterTwoLeases ? 'keeps' : 'loses'} the owner`, () => {
-      const bounds: OwnershipBounds = { ...TWO, outageRule: rule }
+      const bounds: OwnershipBounds = { ...TWO_INSTANCES, outageRule: rule }
       assert.equal(exploreOwnership(bounds).violation === undefined, safe)
       const specification = new OwnershipSpecification(bounds)
       let state = initialOwnershipState(bounds)
