--- a/test/fakes/fakeWorkers.ts
+++ b/test/fakes/fakeWorkers.ts
@@ -99,17 +99,17 @@
     return true
   }
 
-  private startLease (known: FakeTask, milliseconds: number): void {
-    clearTimeout(known.leaseTimer)
-    known.leaseTimer = this.network.clock.after(milliseconds, () => this.end(known, 'leaseLapsed'))
+  private startLease (task: FakeTask, milliseconds: number): void {
+    clearTimeout(task.leaseTimer)
+    task.leaseTimer = this.network.clock.after(milliseconds, () => this.end(task, 'leaseLapsed'))
   }
 
-  private end (known: FakeTask, state: TaskState): void {
-    clearTimeout(known.leaseTimer)
-    clearTimeout(known.endTimer)
-    if (known.interval.state !== 'running') return
-    known.interval.state = state
-    known.interval.endedAt = performance.now()
+  private end (task: FakeTask, state: TaskState): void {
+    clearTimeout(task.leaseTimer)
+    clearTimeout(task.endTimer)
+    if (task.interval.state !== 'running') return
+    task.interval.state = state
+    task.interval.endedAt = performance.now()
   }
 }
 
--- a/test/fuzz/oracle.ts
+++ b/test/fuzz/oracle.ts
@@ -101,7 +101,7 @@
     .map(({ incarnation }) => `${incarnation} has not stopped`)
 }
 
-/** Checked at every step: the revision in force of an incarnation never decreases, and each revision has the text that the log decided. */
+/** Checked at every step: the revision in force of an incarnation never decreases, and each revision has the configuration text that the log decided. */
 export function ConfigurationNeverReverts (site: FakeSite): string[] {
   const decided = decidedTexts(site)
   const problems: string[] = []
@@ -110,7 +110,7 @@
     const revision = current?.revision ?? 0
     if (revision < instance.highestRevision) problems.push(`${instance.incarnation} went from revision ${instance.highestRevision} to ${revision}`)
     instance.highestRevision = Math.max(revision, instance.highestRevision)
-    if (current !== undefined && decided[revision - 1] !== current.source) problems.push(`${instance.incarnation} has a text in force as revision ${revision} that the log did not decide`)
+    if (current !== undefined && decided[revision - 1] !== current.source) problems.push(`${instance.incarnation} has a configuration in force as revision ${revision} that the log did not decide`)
   }
   return problems
 }
@@ -175,7 +175,7 @@
   }
 }
 
-/** Returns the texts that the log has decided: a publish record becomes the next revision if it is based on the current one. */
+/** Returns the configuration texts that the log has decided: a publish record becomes the next revision if it is based on the current one. */
 function decidedTexts (site: FakeSite): string[] {
   const texts: string[] = []
   for (const { body } of site.log.recordsOf(CONFIGURATION_STREAM)) {
--- a/test/soak/soakSite.ts
+++ b/test/soak/soakSite.ts
@@ -167,7 +167,7 @@
     this.setPath(instance, other.linkAddress, fault)
   }
 
-  /** Marks instances as unstable for the time and the stable window after it. */
+  /** Marks instances as unstable for the given time and the stable window after it. */
   markUnstable (instances: readonly InstanceProcess[], milliseconds: number): void {
     for (const instance of instances) this.unstableUntil.set(instance, Math.max(this.unstableUntil.get(instance) ?? 0, performance.now() + milliseconds + STABLE_WINDOW_MILLISECONDS))
   }
