--- a/test/soak/instanceProcess.ts
+++ b/test/soak/instanceProcess.ts
@@ -95,7 +95,7 @@
   stop (restartDelayMilliseconds: number): void {
     const state = this.current
     if (state === undefined || state.stopRequestedAt !== undefined) return
-    Object.assign(state, { stoppedAt: performance.now(), restartDelayMilliseconds })
+    Object.assign(state, { stopRequestedAt: performance.now(), restartDelayMilliseconds })
     state.child.kill('SIGTERM')
     setTimeout(() => {
       if (this.current !== state || state.isKilled) return
