--- a/test/fuzz/clusterOracle.ts
+++ b/test/fuzz/clusterOracle.ts
@@ -1,6 +1,6 @@
 import type { EndReport } from '../../src/cluster/workerPort.js'
 import { MAXIMUM_ATTEMPTS, type ClusterView, type FakeCluster, type SubmittedStepJob } from '../fakes/fakeCluster.js'
-import type { FakeWorker, FakeWorkerObserver } from '../fakes/fakeClusterWorkers.js'
+import type { FakeClusterWorker, FakeClusterWorkerObserver } from '../fakes/fakeClusterWorkers.js'
 
 /** End of a run, as recorded by its worker. */
 interface RecordedEnd {
@@ -16,7 +16,7 @@
 }
 
 /** Observes workers, and records each violated invariant. */
-export class ClusterOracle implements FakeWorkerObserver {
+export class ClusterOracle implements FakeClusterWorkerObserver {
   readonly problems: string[] = []
   private readonly completedRuns = new Map<string, RecordedEnd[]>()
   private readonly failedRuns = new Map<string, number>()
@@ -41,7 +41,7 @@
     this.checkStates(cluster)
   }
 
-  onDidStart (worker: FakeWorker, task: string, run: number): void {
+  onDidStart (worker: FakeClusterWorker, task: string, run: number): void {
     const start = `${task} run ${run} on ${worker.identity}`
     this.startedJobs.add(jobOf(task))
     for (const other of this.view?.workers.values() ?? []) {
@@ -59,13 +59,13 @@
     this.checkStepOrder(task, start)
   }
 
-  onDidEnd (worker: FakeWorker, end: EndReport): void {
+  onDidEnd (worker: FakeClusterWorker, end: EndReport): void {
     if (end.kind !== 'done') return
     const recorded = { worker: worker.identity, bornAt: worker.bornAt, number: end.number, run: end.run, endedAt: performance.now(), isAcknowledged: false, startedAfter: undefined }
     this.completedRuns.set(end.task, [...this.completedRuns.get(end.task) ?? [], recorded])
   }
 
-  onDidAcknowledgeEnd (worker: FakeWorker, end: EndReport): void {
+  onDidAcknowledgeEnd (worker: FakeClusterWorker, end: EndReport): void {
     if (end.kind === 'failed') this.failedRuns.set(end.task, (this.failedRuns.get(end.task) ?? 0) + 1)
     const recorded = this.completedRuns.get(end.task)?.find(candidate => candidate.worker === worker.identity && candidate.bornAt === worker.bornAt && candidate.number === end.number)
     // If a lease expired in between, the end stays uncertain, and another start is no violation.
@@ -106,10 +106,10 @@
   }
 
   private checkStates (cluster: FakeCluster): void {
-    for (const { process, activeScheduler: acting, term } of cluster.runningSchedulers) {
+    for (const { process, activeScheduler, term } of cluster.runningSchedulers) {
       if (process.isPaused) continue
       for (const job of cluster.jobs) {
-        if (acting.stateOf(job.identity) !== 'completed') continue
+        if (activeScheduler.stateOf(job.identity) !== 'completed') continue
         this.reportedCompleted.add(job.identity)
         const missing = this.firstUnfinishedStep(job)
         if (missing >= 0) this.addProblem(`CompletedMeansDone: scheduler ${term} reports ${job.identity} as completed, but step ${missing} is not done`)
