--- a/test/fakes/fakeCluster.ts
+++ b/test/fakes/fakeCluster.ts
@@ -113,7 +113,7 @@
 
   /** A connection breaks when the worker process at its other end exits. */
   isStillConnected (identity: string): boolean {
-    return this.connectedTo.get(identity) === this.workers.get(identity)?.bornAt
+    return this.connectedTo.get(identity) === this.workers.get(identity)?.processStartedAt
   }
 
   override async start ({ identity }: WorkerAddress, command: StartCommand): Promise<CommandOutcome> {
@@ -126,11 +126,11 @@
 
   private async call<T> (identity: string, execute: (worker: FakeClusterWorker) => Promise<T>, timeoutMilliseconds: number, timeoutResult: T): Promise<T> {
     const worker = this.workers.get(identity)
-    const targetBornAt = worker?.bornAt
+    const targetBornAt = worker?.processStartedAt
     return await this.pathTo(identity).call(async () => {
       const current = this.workers.get(identity)
       // A call is lost if the worker process to which it was sent exits before it arrives.
-      if (current === undefined || current.bornAt !== targetBornAt) return timeoutResult
+      if (current === undefined || current.processStartedAt !== targetBornAt) return timeoutResult
       return await execute(current)
     }, timeoutMilliseconds, timeoutResult)
   }
--- a/test/fakes/fakeClusterWorkers.ts
+++ b/test/fakes/fakeClusterWorkers.ts
@@ -47,7 +47,7 @@
   /** Kind of the end of a run that was not stopped. */
   endKind: EndKind = 'done'
   state: WorkerEntry['state'] = 'ready'
-  bornAt = 1
+  processStartedAt = 1
   /** Rate of the worker's clock relative to the true clock. */
   clockRate = 1
   observer: FakeClusterWorkerObserver | undefined
@@ -66,7 +66,7 @@
   }
 
   get entry (): WorkerEntry {
-    return { identity: this.identity, pool: 'pool', address: `${this.identity}:1`, failureDomain: 'a', state: this.state, processorsThousandths: this.capacity * 1000, memoryMegabytes: 1_000_000, accelerators: 0, labels: ['kind', 'rack'], processStartedAt: this.bornAt }
+    return { identity: this.identity, pool: 'pool', address: `${this.identity}:1`, failureDomain: 'a', state: this.state, processorsThousandths: this.capacity * 1000, memoryMegabytes: 1_000_000, accelerators: 0, labels: ['kind', 'rack'], processStartedAt: this.processStartedAt }
   }
 
   /** Simulates a restart of the worker's process under the same identity. */
@@ -79,7 +79,7 @@
     this.leaseEnd = 0
     this.clockStart = performance.now()
     this.term = 0
-    this.bornAt += 1
+    this.processStartedAt += 1
   }
 
   async poll (request: PollRequest): Promise<PollOutcome> {
@@ -97,7 +97,7 @@
       acknowledgedEnd: request.acknowledgedEnd,
       report: {
         clockMilliseconds: this.clock,
-        processStartedAt: this.bornAt,
+        processStartedAt: this.processStartedAt,
         running: [...this.running.values()].map(run => ({ task: run.task, run: run.run, checkpoint: '', percent: Math.round(100 * (performance.now() - run.startedAt) / (run.endsAt - run.startedAt)) })),
         ended: this.unacknowledged()
       }
@@ -138,10 +138,10 @@
     const duration = this.durationMilliseconds(command.task)
     this.running.set(command.task, { task: command.task, run: command.run, startedAt: performance.now(), endsAt: performance.now() + duration })
     if (duration === Infinity) return { kind: 'done' }
-    const bornAt = this.bornAt
+    const processStartedAt = this.processStartedAt
     setTimeout(() => {
       this.expire()
-      if (this.bornAt === bornAt) this.endIfRunning(command.task, command.run, this.endKind)
+      if (this.processStartedAt === processStartedAt) this.endIfRunning(command.task, command.run, this.endKind)
     }, duration)
     return { kind: 'done' }
   }
--- a/test/fuzz/clusterOracle.ts
+++ b/test/fuzz/clusterOracle.ts
@@ -61,13 +61,13 @@
 
   onDidEnd (worker: FakeClusterWorker, end: EndReport): void {
     if (end.kind !== 'done') return
-    const recorded = { worker: worker.identity, bornAt: worker.bornAt, number: end.number, run: end.run, endedAt: performance.now(), isAcknowledged: false, startedAfter: undefined }
+    const recorded = { worker: worker.identity, bornAt: worker.processStartedAt, number: end.number, run: end.run, endedAt: performance.now(), isAcknowledged: false, startedAfter: undefined }
     this.completedRuns.set(end.task, [...this.completedRuns.get(end.task) ?? [], recorded])
   }
 
   onDidAcknowledgeEnd (worker: FakeClusterWorker, end: EndReport): void {
     if (end.kind === 'failed') this.failedRuns.set(end.task, (this.failedRuns.get(end.task) ?? 0) + 1)
-    const recorded = this.completedRuns.get(end.task)?.find(candidate => candidate.worker === worker.identity && candidate.bornAt === worker.bornAt && candidate.number === end.number)
+    const recorded = this.completedRuns.get(end.task)?.find(candidate => candidate.worker === worker.identity && candidate.bornAt === worker.processStartedAt && candidate.number === end.number)
     // If a lease expired in between, the end stays uncertain, and another start is no violation.
     if (recorded === undefined || worker.lapsedAt > recorded.endedAt) return
     recorded.isAcknowledged = true
--- a/test/soak/soakSite.ts
+++ b/test/soak/soakSite.ts
@@ -122,7 +122,7 @@
   async addWorker (): Promise<void> {
     const identity = `i-${this.workerStandins.size + 1}`
     const worker = new FakeClusterWorker(identity, WORKER_CAPACITY, task => this.gangSimulator.membersOf(task).length > 0 ? Infinity : 150 + 350 * (Number(task.at(-1)) % 5))
-    worker.bornAt = Date.now()
+    worker.processStartedAt = Date.now()
     worker.clockRate = this.workerStandins.size % 2 === 0 ? 1 : SLOW_CLOCK_RATE
     worker.observer = this.gangSimulator
     const standin = await new WorkerStandin(worker).listen()
