--- a/test/fuzz/clusterOracle.ts
+++ b/test/fuzz/clusterOracle.ts
@@ -5,7 +5,7 @@
 /** End of a run, as recorded by its worker. */
 interface RecordedEnd {
   readonly worker: string
-  readonly bornAt: number
+  readonly processStartedAt: number
   readonly number: number
   readonly run: number
   readonly endedAt: number
@@ -67,7 +67,7 @@
 
   onDidAcknowledgeEnd (worker: FakeClusterWorker, end: EndReport): void {
     if (end.kind === 'failed') this.failedRuns.set(end.task, (this.failedRuns.get(end.task) ?? 0) + 1)
-    const recorded = this.completedRuns.get(end.task)?.find(candidate => candidate.worker === worker.identity && candidate.bornAt === worker.processStartedAt && candidate.number === end.number)
+    const recorded = this.completedRuns.get(end.task)?.find(candidate => candidate.worker === worker.identity && candidate.processStartedAt === worker.processStartedAt && candidate.number === end.number)
     // If a lease expired in between, the end stays uncertain, and another start is no violation.
     if (recorded === undefined || worker.lapsedAt > recorded.endedAt) return
     recorded.isAcknowledged = true
