--- a/src/cluster/workerPort.ts
+++ b/src/cluster/workerPort.ts
@@ -23,7 +23,7 @@
 }
 
 /**
- * How a run ended. `lapsed`: the lease of the worker expired. `broken`: another member of its gang ended without success.
+ * How a run ended. `lapsed`: the lease of the worker expired. `broken`: another member of its gang ended, with any outcome.
  * `alone`: not all members of its gang were running in time.
  */
 export type EndKind = 'done' | 'failed' | 'stopped' | 'lapsed' | 'broken' | 'alone'
