--- a/test/fakes/fakeCluster.ts
+++ b/test/fakes/fakeCluster.ts
@@ -126,11 +126,11 @@
 
   private async call<T> (identity: string, execute: (worker: FakeClusterWorker) => Promise<T>, timeoutMilliseconds: number, timeoutResult: T): Promise<T> {
     const worker = this.workers.get(identity)
-    const targetBornAt = worker?.processStartedAt
+    const targetProcessStartedAt = worker?.processStartedAt
     return await this.pathTo(identity).call(async () => {
       const current = this.workers.get(identity)
       // A call is lost if the worker process to which it was sent exits before it arrives.
-      if (current === undefined || current.processStartedAt !== targetBornAt) return timeoutResult
+      if (current === undefined || current.processStartedAt !== targetProcessStartedAt) return timeoutResult
       return await execute(current)
     }, timeoutMilliseconds, timeoutResult)
   }
@@ -233,7 +233,7 @@
     this.gangSimulator = new GangSimulator(this.clock, this, observer)
   }
 
-  /** Schedulers whose process runs and that have not been superseded. */
+  /** Schedulers whose process runs and that have not detected that they were superseded. */
   get runningSchedulers (): StartedScheduler[] {
     return this.schedulers.filter(scheduler => !scheduler.process.isCrashed && !scheduler.isSuperseded)
   }
@@ -255,7 +255,7 @@
     for (const { process, activeScheduler } of this.runningSchedulers) process.deliver(() => activeScheduler.removeWorker(worker.identity))
   }
 
-  /** Starts a scheduler with the next term. The former one continues until it is superseded. `logFault` is the fault of the successor's path to the log. */
+  /** Starts a scheduler with the next term. The former one continues until it detects that it was superseded. `logFault` is the fault of the successor's path to the log. */
   startScheduler (logFault: PathFault = 'none'): StartedScheduler {
     const term = this.schedulers.length + 1
     const now = performance.now()
--- a/test/fuzz/clusterOracle.ts
+++ b/test/fuzz/clusterOracle.ts
@@ -61,7 +61,7 @@
 
   onDidEnd (worker: FakeClusterWorker, end: EndReport): void {
     if (end.kind !== 'done') return
-    const recorded = { worker: worker.identity, bornAt: worker.processStartedAt, number: end.number, run: end.run, endedAt: performance.now(), isAcknowledged: false, startedAfter: undefined }
+    const recorded = { worker: worker.identity, processStartedAt: worker.processStartedAt, number: end.number, run: end.run, endedAt: performance.now(), isAcknowledged: false, startedAfter: undefined }
     this.completedRuns.set(end.task, [...this.completedRuns.get(end.task) ?? [], recorded])
   }
 
--- a/test/soak/workerStandin.ts
+++ b/test/soak/workerStandin.ts
@@ -12,9 +12,9 @@
 
   /** Returns the worker's encoded entry in the registry. */
   entry (sequence: number): Buffer {
-    const { pool, failureDomain, state, processorsThousandths, memoryMegabytes, labels, processStartedAt: bornAt } = this.worker.entry
+    const { pool, failureDomain, state, processorsThousandths, memoryMegabytes, labels, processStartedAt } = this.worker.entry
     const resources = { millicpus: processorsThousandths, memMb: memoryMegabytes, gpus: 0 }
-    return Buffer.from(JSON.stringify({ service: pool, addr: this.hostAndPort, zone: failureDomain, state, room: resources, labels, born: bornAt, sequence }))
+    return Buffer.from(JSON.stringify({ service: pool, addr: this.hostAndPort, zone: failureDomain, state, room: resources, labels, born: processStartedAt, sequence }))
   }
 
   protected override async handle ({ url, headers, body }: StandinRequest): Promise<StandinResponse> {
@@ -33,10 +33,10 @@
 function encodePollOutcome (outcome: PollOutcome, clockMs: number): StandinResponse {
   switch (outcome.kind) {
     case 'report': {
-      const { clockMilliseconds, processStartedAt: bornAt, running, ended } = outcome.report
+      const { clockMilliseconds, processStartedAt, running, ended } = outcome.report
       const body = {
         clockMs: clockMilliseconds,
-        born: bornAt,
+        born: processStartedAt,
         running: running.map(({ task, run, checkpoint, percent }) => [task, run, checkpoint, percent]),
         ended: ended.map(({ number, task, run, kind, checkpoint }) => [number, task, run, kind, checkpoint])
       }
